--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -10,7 +10,7 @@
 use gullspar_model::GroupName;
 
 use crate::configuration::news_source::NewsSource;
-use crate::proxy::SETTLE;
+use crate::proxy::SETTLE_PERIOD;
 use crate::{GroupView, Heartbeat, Members, PeerMessage, Phase, Proxy, Snapshot, SnapshotRequest};
 
 /// How long handing over a snapshot may take.
@@ -104,7 +104,10 @@
 
     fn views(&self, boot_now: BootInstant) -> Vec<GroupView> {
         let now = self.borders.clock.now();
-        self.groups().iter().map(|it| it.view(now, boot_now, self.started + SETTLE)).collect()
+        self.groups()
+            .iter()
+            .map(|it| it.view(now, boot_now, self.started + SETTLE_PERIOD))
+            .collect()
     }
 
     fn heartbeat(
@@ -161,7 +164,7 @@
         if self.reaches_store() {
             self.peers.note_store(now);
         }
-        if self.reaches_its_leaders() {
+        if self.can_reach_most_leaders() {
             self.peers.note_home(now);
         }
         for id in self.peers.check(now) {
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -11,13 +11,13 @@
 use crate::fleet::homes::Allowance;
 use crate::groups::failover;
 use crate::groups::group::Group;
-use crate::proxy::SETTLE;
+use crate::proxy::SETTLE_PERIOD;
 use crate::stats::Levels;
 use crate::targets::admission_limit::connection_share;
 use crate::targets::pacing;
 use crate::targets::target::Target;
 use crate::targets::target_watch;
-use crate::{CutOff, Member, Phase, Proxy};
+use crate::{Member, PartitionState, Phase, Proxy};
 
 /// How long a group is served for a session that was handed on to an instance that is not its home.
 const HOLD_FOR: Duration = Duration::from_secs(10);
@@ -207,7 +207,7 @@
             peers: Rc::clone(&self.peers),
             group: Rc::clone(&group),
             shutdown: Rc::clone(&self.shutdown),
-            settle_until: self.started + SETTLE,
+            settle_until: self.started + SETTLE_PERIOD,
         };
         compio::runtime::spawn(keeper.run()).detach();
         group
@@ -215,11 +215,11 @@
 
     pub(crate) fn levels(&self) -> Levels {
         let groups = self.groups();
-        let leaderless = groups.len() - self.led_groups();
+        let leaderless = groups.len() - self.reachable_leaders();
         Levels {
             sessions: self.shutdown.sessions() as u64,
             configuration: self.directory.version(),
-            cut_off: self.shutdown.cut_off() != CutOff::No,
+            is_partitioned: self.shutdown.partition_state() != PartitionState::Connected,
             leaderless: leaderless as u64,
             instances: 1 + self.peers.running() as u64,
             store_silent_ms: self.store_silent_for().map(|it| it.as_millis() as u64),
--- /dev/null
+++ b/crates/gullspar_direct/src/fleet/partition.rs
@@ -0,0 +1,132 @@
+//! Detects a network partition and decides whether callers are better served by other instances.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use gullspar_model::NotRun;
+
+use crate::groups::group::Group;
+use crate::{PartitionState, Phase, Proxy, ROTATION_DELAY, Route};
+
+/// Time between two checks for silent peers and for a partition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+impl Proxy {
+    /// Whether a request should fail at once instead of waiting for a usable leader of `group`.
+    ///
+    /// This is so if other instances still use the leader, if this instance is partitioned, or if the leader is leaving
+    /// and no successor is being promoted. The caller's retry may then reach an instance that can serve it.
+    pub(crate) fn should_not_wait_for_leader(&self, group: &Group) -> bool {
+        if group.serving_leader().is_some() {
+            return false;
+        }
+        let now = self.borders.clock.boot_now();
+        if group.working_leader().is_some() {
+            return !group.is_being_replaced(now);
+        }
+        let led = group
+            .leader()
+            .is_some_and(|it| self.peers.views.others_see_lead(&group.name, &it.member, now));
+        led || self.peers.is_isolated(now) || self.ways_around(&group.name).is_some()
+    }
+
+    /// Whether this instance has lost contact with the other instances and with the leaders of at least half of its
+    /// groups, so that callers are better served elsewhere.
+    ///
+    /// An instance that is home of no group forwards its callers to the homes of its data centre. It counts as
+    /// partitioned if none of these reaches its leaders.
+    pub(crate) fn is_partitioned(&self) -> bool {
+        let now = self.borders.clock.boot_now();
+        if !self.peers.is_isolated(now) {
+            return false;
+        }
+        match self.groups().is_empty() {
+            true => !self.peers.is_home_at_work(now),
+            false => !self.can_reach_most_leaders(),
+        }
+    }
+
+    /// Whether this instance is the home of some groups and reaches the leaders of more than half of them.
+    pub(crate) fn can_reach_most_leaders(&self) -> bool {
+        2 * self.reachable_leaders() > self.groups().len()
+    }
+
+    /// The number of this instance's groups whose leader it reaches.
+    pub(crate) fn reachable_leaders(&self) -> usize {
+        self.groups().iter().filter(|it| it.working_leader().is_some()).count()
+    }
+
+    /// The reason to refuse a new session with `route`; `None` if it can be opened.
+    ///
+    /// A session opened in spite of the reason would be closed while its first request is on its way, and the caller
+    /// would not know whether that request ran.
+    pub(crate) fn session_refusal(&self, route: &Route, is_forwarded: bool) -> Option<NotRun> {
+        if self.shutdown.phase() >= Phase::ClosingIdle {
+            return Some(NotRun::Leaving);
+        }
+        let refuses = match self.shutdown.partition_state() {
+            PartitionState::Connected => false,
+            // An instance that is home of no group leaves the decision to the homes, which are in contact with leaders.
+            PartitionState::Partitioned => match self.group(&route.group) {
+                Some(group) => !self.can_serve(&group, route),
+                None => is_forwarded,
+            },
+            PartitionState::OutOfRotation => true,
+        };
+        refuses.then_some(NotRun::Unreachable)
+    }
+
+    /// Whether any statement with `route` can be served: its group has a usable leader, or a position sample is recent
+    /// enough for reads from replicas.
+    fn can_serve(&self, group: &Group, route: &Route) -> bool {
+        let now = self.borders.clock.boot_now();
+        let has_recent_sample = |max_age| group.reading_within(now, max_age).is_some();
+        group.working_leader().is_some() || route.freshness.max_age().is_some_and(has_recent_sample)
+    }
+
+    /// Whether this instance has been able to serve callers since its start.
+    ///
+    /// An instance that starts during a partition reaches no leader and could serve nothing, since the age of a
+    /// replica's data is computed from a leader's position samples. It must not become ready: it would attract callers
+    /// and refuse them all.
+    pub(crate) fn has_been_able_to_serve(&self) -> bool {
+        if self.was_able_to_serve.get() {
+            return true;
+        }
+        let is_able = match self.groups().len() {
+            // It forwards all sessions.
+            0 => self.peers.running() > 0,
+            count => 2 * self.reachable_leaders() >= count,
+        };
+        self.was_able_to_serve.set(is_able);
+        is_able
+    }
+
+    /// Checks for silent peers, sends callers elsewhere while this instance is partitioned, and keeps alternate routes to
+    /// leaders that only this instance can't reach. Never ends.
+    pub(crate) async fn monitor_reachability(self: Rc<Self>) {
+        let clock = Rc::clone(&self.borders.clock);
+        let mut partitioned_since = None;
+        let mut ways_around = Vec::new();
+        loop {
+            self.watch_peers();
+            self.look_for_ways(&mut ways_around);
+            if self.is_partitioned() {
+                let since = *partitioned_since.get_or_insert_with(|| {
+                    log::warn!("G0741 this instance is partitioned; callers are sent elsewhere");
+                    clock.now()
+                });
+                let is_out = clock.now() >= since + ROTATION_DELAY;
+                self.shutdown.set_partition_state(if is_out {
+                    PartitionState::OutOfRotation
+                } else {
+                    PartitionState::Partitioned
+                });
+            } else if partitioned_since.take().is_some() {
+                log::info!("G0742 this instance is no longer partitioned");
+                self.shutdown.set_partition_state(PartitionState::Connected);
+            }
+            clock.sleep_until(clock.now() + CHECK_INTERVAL).await;
+        }
+    }
+}
--- a/crates/gullspar_direct/src/lib.rs
+++ b/crates/gullspar_direct/src/lib.rs
@@ -30,13 +30,13 @@
 pub use groups::group::{Group, Leader};
 pub use groups::votes::{Ballot, Verdict};
 pub use gullspar_membership::Member;
-pub use proxy::{Identity, Proxy, ROTATION};
+pub use proxy::{Identity, Proxy, ROTATION_DELAY};
 pub use reading::freshness::Freshness;
 pub use reading::readings::{Reading, Readings};
 pub use session::caller_opening::{serve_caller, serve_relayed_caller};
 pub use session::handed_on::HandedOn;
 pub use session::relay::{HomeLink, RelayMessage, RelayReply};
 pub use session::session_values::SessionValues;
-pub use session::shutdown::{CutOff, Phase, Shutdown};
+pub use session::shutdown::{PartitionState, Phase, Shutdown};
 pub use stats::Stats;
 pub use targets::pacing::{Share, rest_after};
--- a/crates/gullspar_direct/src/proxy.rs
+++ b/crates/gullspar_direct/src/proxy.rs
@@ -13,14 +13,14 @@
 use crate::fleet::home_plan::HomePlan;
 use crate::fleet::limits::Limits;
 use crate::groups::group::Group;
-use crate::{Borders, CutOff, Directory, Member, PeerTable, Phase, Shutdown};
+use crate::{Borders, Directory, Member, PartitionState, PeerTable, Phase, Shutdown};
 
 /// Time after start in which a missing leader is not held against a group.
-pub(crate) const SETTLE: Duration = Duration::from_millis(1500);
+pub(crate) const SETTLE_PERIOD: Duration = Duration::from_millis(1500);
 
 /// How long callers may still be sent here once the balancer is refused: it asks every second and needs
 /// two refusals.
-pub const ROTATION: Duration = Duration::from_millis(2200);
+pub const ROTATION_DELAY: Duration = Duration::from_millis(2200);
 
 /// How often capacities and memberships are looked at without a cause.
 const TEND_EVERY: Duration = Duration::from_millis(500);
@@ -71,7 +71,7 @@
     pub(crate) store_heard: RefCell<Option<BootInstant>>,
     pub(crate) started: Instant,
     /// It has been able to serve callers.
-    pub(crate) useful: Cell<bool>,
+    pub(crate) was_able_to_serve: Cell<bool>,
 }
 
 impl Proxy {
@@ -92,7 +92,7 @@
             limits: Limits::default(),
             store_heard: RefCell::new(None),
             started,
-            useful: Cell::new(false),
+            was_able_to_serve: Cell::new(false),
         })
     }
 
@@ -100,7 +100,7 @@
     pub async fn run(self: Rc<Self>) {
         compio::runtime::spawn(Rc::clone(&self).send_heartbeats()).detach();
         compio::runtime::spawn(Rc::clone(&self).follow_peers()).detach();
-        compio::runtime::spawn(Rc::clone(&self).look_around()).detach();
+        compio::runtime::spawn(Rc::clone(&self).monitor_reachability()).detach();
         compio::runtime::spawn(Rc::clone(&self).find_others()).detach();
         loop {
             let changed = self.directory.listen();
@@ -120,8 +120,8 @@
         self.directory.is_usable()
             && self.discovery.is_done()
             && self.shutdown.phase() == Phase::Serving
-            && self.shutdown.cut_off() == CutOff::No
-            && self.has_been_useful()
+            && self.shutdown.partition_state() == PartitionState::Connected
+            && self.has_been_able_to_serve()
     }
 
     /// The group `name`, if any target of it is there.
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -102,7 +102,7 @@
                     running.push(self.spawn_try(group, req, place, tx.clone()));
                     another_due = false;
                 } else if running.is_empty() {
-                    if self.is_hopeless(group) {
+                    if self.should_not_wait_for_leader(group) {
                         break;
                     }
                     // Nothing can serve it at this moment.
--- a/crates/gullspar_direct/src/session/caller_opening.rs
+++ b/crates/gullspar_direct/src/session/caller_opening.rs
@@ -94,7 +94,7 @@
         proxy.borders.stats.key_refused();
         return Err(refused(refusal::unknown_key()));
     };
-    if let Some(reason) = proxy.refuses_sessions(&route, handed_on.is_some()) {
+    if let Some(reason) = proxy.session_refusal(&route, handed_on.is_some()) {
         log::info!(service = service.as_str(), reason = reason.text(); "G0764 a session is refused at its opening");
         return Err(refused(refusal::not_run(reason)));
     }
--- a/crates/gullspar_direct/src/session/shutdown.rs
+++ b/crates/gullspar_direct/src/session/shutdown.rs
@@ -16,19 +16,19 @@
     ClosingAll,
 }
 
-/// Whether the instance is cut off from what it needs to serve callers.
+/// Whether a network partition keeps the instance from serving callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutOff {
-    No,
-    /// Callers may still be sent here.
-    Yes,
-    /// Whoever is sent away comes to another instance.
+pub enum PartitionState {
+    Connected,
+    /// The load balancer may still send callers here.
+    Partitioned,
+    /// The load balancer sends new connections to other instances.
     OutOfRotation,
 }
 
 /// The phase, and news of it.
 pub struct Shutdown {
-    cut_off: Cell<CutOff>,
+    partition_state: Cell<PartitionState>,
     phase: Cell<Phase>,
     changed: Event,
     sessions: Cell<usize>,
@@ -37,7 +37,7 @@
 impl Default for Shutdown {
     fn default() -> Shutdown {
         Shutdown {
-            cut_off: Cell::new(CutOff::No),
+            partition_state: Cell::new(PartitionState::Connected),
             phase: Cell::new(Phase::Serving),
             changed: Event::new(),
             sessions: Cell::new(0),
@@ -57,13 +57,13 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Whether the instance is cut off.
-    pub fn cut_off(&self) -> CutOff {
-        self.cut_off.get()
+    /// Whether the instance is partitioned.
+    pub fn partition_state(&self) -> PartitionState {
+        self.partition_state.get()
     }
 
-    pub(crate) fn set_cut_off(&self, cut_off: CutOff) {
-        if self.cut_off.replace(cut_off) != cut_off {
+    pub(crate) fn set_partition_state(&self, state: PartitionState) {
+        if self.partition_state.replace(state) != state {
             self.changed.notify(usize::MAX);
         }
     }
@@ -75,7 +75,8 @@
 
     /// Whether sessions without a transaction are to connect elsewhere.
     pub(crate) fn sheds_idle(&self) -> bool {
-        self.phase.get() >= Phase::ClosingIdle || self.cut_off.get() == CutOff::OutOfRotation
+        self.phase.get() >= Phase::ClosingIdle
+            || self.partition_state.get() == PartitionState::OutOfRotation
     }
 
     /// Notified at each step; take it before reading the phase.
--- a/crates/gullspar_direct/src/stats.rs
+++ b/crates/gullspar_direct/src/stats.rs
@@ -29,7 +29,7 @@
     connections: Counter<u64>,
     sessions: Gauge<u64>,
     configuration: Gauge<u64>,
-    cut_off: Gauge<u64>,
+    partitioned: Gauge<u64>,
     leaderless: Gauge<u64>,
     instances: Gauge<u64>,
     store_silent: Gauge<u64>,
@@ -39,7 +39,7 @@
 pub(crate) struct Levels {
     pub(crate) sessions: u64,
     pub(crate) configuration: u64,
-    pub(crate) cut_off: bool,
+    pub(crate) is_partitioned: bool,
     pub(crate) leaderless: u64,
     pub(crate) instances: u64,
     /// Time since the store's last answer in milliseconds, if it ever came.
@@ -106,7 +106,7 @@
                 "gullspar_configuration_version",
                 "Version of the configuration in force.",
             ),
-            cut_off: gauge("gullspar_cut_off", "1 while this instance is cut off."),
+            partitioned: gauge("gullspar_cut_off", "1 while this instance is partitioned."),
             leaderless: gauge("gullspar_groups_without_leader", "Groups without a usable leader."),
             instances: gauge("gullspar_instances", "Instances alive, this one included."),
             store_silent: gauge(
@@ -173,7 +173,7 @@
     pub(crate) fn levels(&self, levels: &Levels) {
         self.sessions.record(levels.sessions, &[]);
         self.configuration.record(levels.configuration, &[]);
-        self.cut_off.record(u64::from(levels.cut_off), &[]);
+        self.partitioned.record(u64::from(levels.is_partitioned), &[]);
         self.leaderless.record(levels.leaderless, &[]);
         self.instances.record(levels.instances, &[]);
         if let Some(silent_ms) = levels.store_silent_ms {
