--- a/crates/gullspar_direct/src/borders.rs
+++ b/crates/gullspar_direct/src/borders.rs
@@ -9,7 +9,8 @@
 use gullspar_statement::TargetDialer;
 
 use crate::{
-    Claims, HandedOn, HomeLink, PeerMessage, Promoter, Registry, Snapshot, SnapshotRequest, Stats,
+    Claims, ForwardedSession, HomeLink, PeerMessage, Promoter, Registry, Snapshot, SnapshotRequest,
+    Stats,
 };
 
 /// The ways to other instances.
@@ -29,7 +30,7 @@
     fn open_session(
         &self,
         to: SocketAddr,
-        handed_on: HandedOn,
+        forwarded: ForwardedSession,
         deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<Box<dyn HomeLink>, PeerError>>;
 }
--- a/crates/gullspar_direct/src/configuration/directory.rs
+++ b/crates/gullspar_direct/src/configuration/directory.rs
@@ -78,7 +78,7 @@
             let known = targets.get(&spec.member);
             // An entry that somebody else wrote, or its target long ago; what is in force lapses unless
             // the target says something new of itself.
-            if known.is_some_and(|it| it.spec.is_after(&spec)) {
+            if known.is_some_and(|it| it.spec.is_newer_than(&spec)) {
                 log::warn!(member = spec.member.as_str(), beat = spec.beat; "G0757 an entry of a target is older than what it said before");
                 outdated.insert(spec.member);
                 continue;
@@ -86,7 +86,7 @@
             if known.is_none() && doubts {
                 // Of a target that may have left since the copy was made.
                 let first = doubted_before.get(&spec.member);
-                if first.is_none_or(|it| !spec.is_after(it)) {
+                if first.is_none_or(|it| !spec.is_newer_than(it)) {
                     doubted.insert(spec.member.clone(), first.cloned().unwrap_or(spec));
                     continue;
                 }
@@ -116,7 +116,7 @@
 
     /// Drops targets whose grace has passed, and believes those that were doubted for long enough; gives the time of the
     /// next to look at.
-    pub fn drop_lapsed(&self, now: Instant) -> Option<Instant> {
+    pub fn remove_expired(&self, now: Instant) -> Option<Instant> {
         let believed = self.believe_doubted(now);
         let mut targets = self.targets.borrow_mut();
         let before = targets.len();
--- a/crates/gullspar_direct/src/configuration/mod.rs
+++ b/crates/gullspar_direct/src/configuration/mod.rs
@@ -2,6 +2,6 @@
 
 pub(crate) mod catalogue;
 pub(crate) mod directory;
-pub(crate) mod news_source;
 pub(crate) mod snapshot;
 pub(crate) mod store_contact;
+pub(crate) mod update_source;
--- a/crates/gullspar_direct/src/configuration/store_contact.rs
+++ b/crates/gullspar_direct/src/configuration/store_contact.rs
@@ -30,7 +30,7 @@
     ///
     /// A few instances all do. Of many, two in each data centre do, and the others hear of changes from
     /// them, since each call to the store is paid for; if nobody alive reaches the store, all try.
-    pub fn follows_store(&self) -> bool {
+    pub fn should_follow_store(&self) -> bool {
         self.is_store_follower() || self.is_last_resort()
     }
 
@@ -48,11 +48,11 @@
     /// Whether nobody is heard to reach the store, neither this instance nor another.
     fn is_last_resort(&self) -> bool {
         let now = self.borders.clock.boot_now();
-        !self.reaches_store() && !self.peers.others_reach_store(now)
+        !self.can_reach_store() && !self.peers.others_reach_store(now)
     }
 
     /// The least time between two calls of this instance to a store that does not answer.
-    pub fn store_pause(&self) -> Duration {
+    pub fn store_retry_delay(&self) -> Duration {
         if self.is_store_follower() {
             return Duration::ZERO;
         }
@@ -64,22 +64,22 @@
     ///
     /// One that has read the store once, and leaves it to others, would go by that one list until it counts as
     /// silent; right after the store's return targets are missing there that are listed again within 2 s.
-    pub(crate) fn goes_by_store(&self) -> bool {
-        self.reaches_store() && self.is_store_follower()
+    pub(crate) fn has_targets_from_store(&self) -> bool {
+        self.can_reach_store() && self.is_store_follower()
     }
 
-    pub(crate) fn reaches_store(&self) -> bool {
+    pub(crate) fn can_reach_store(&self) -> bool {
         self.store_silent_for().is_some_and(|it| it < STORE_SILENT_AFTER)
     }
 
     /// How long the store has not answered; `None` if it never did.
     pub(crate) fn store_silent_for(&self) -> Option<Duration> {
         let now = self.borders.clock.boot_now();
-        self.store_heard.borrow().map(|at| now.since(at))
+        self.last_store_contact.borrow().map(|at| now.since(at))
     }
 
     /// The store answered; what it says is newer than what other instances know.
-    pub fn store_answered(&self) {
-        *self.store_heard.borrow_mut() = Some(self.borders.clock.boot_now());
+    pub fn record_store_answer(&self) {
+        *self.last_store_contact.borrow_mut() = Some(self.borders.clock.boot_now());
     }
 }
--- a/crates/gullspar_direct/src/configuration/news_source.rs
+++ b/crates/gullspar_direct/src/configuration/update_source.rs
@@ -12,16 +12,16 @@
 /// one, so that not all ask the same. One that did not answer is followed by the next, near or not: an instance whose
 /// heartbeats arrive may still be out of reach, and asked again and again it would keep the news from this one for as
 /// long as the cut lasts.
-pub(crate) struct NewsSource {
+pub(crate) struct UpdateSource {
     turn: usize,
     /// The last one asked did not answer.
     failed: bool,
 }
 
-impl NewsSource {
+impl UpdateSource {
     /// Begins with an instance that follows from `random`.
-    pub(crate) fn starting_with(random: u64) -> NewsSource {
-        NewsSource { turn: random as usize, failed: false }
+    pub(crate) fn starting_with(random: u64) -> UpdateSource {
+        UpdateSource { turn: random as usize, failed: false }
     }
 
     /// The instance of `ahead` to ask now, seen from `own`.
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -9,7 +9,7 @@
 use gullspar_membership::{Gossip, HEARTBEAT_EVERY, HEARTBEAT_SPACING};
 use gullspar_model::GroupName;
 
-use crate::configuration::news_source::NewsSource;
+use crate::configuration::update_source::UpdateSource;
 use crate::proxy::SETTLE_PERIOD;
 use crate::{GroupView, Heartbeat, Members, PeerMessage, Phase, Proxy, Snapshot, SnapshotRequest};
 
@@ -161,7 +161,7 @@
     /// Notices who has fallen silent, and what this instance can tell of itself.
     pub(crate) fn watch_peers(&self) {
         let now = self.borders.clock.boot_now();
-        if self.reaches_store() {
+        if self.can_reach_store() {
             self.peers.note_store(now);
         }
         if self.can_reach_most_leaders() {
@@ -178,9 +178,10 @@
     /// configuration that everybody else has left.
     pub(crate) async fn follow_peers(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
-        let mut source = NewsSource::starting_with(self.borders.entropy.next_u64());
+        let mut source = UpdateSource::starting_with(self.borders.entropy.next_u64());
         loop {
-            let revision = (!self.goes_by_store()).then(|| self.directory.target_revision());
+            let revision =
+                (!self.has_targets_from_store()).then(|| self.directory.target_revision());
             let ahead = self.peers.ahead(self.directory.version(), revision, clock.boot_now());
             if let Some(from) = source.pick(&ahead, &self.own.data_centre) {
                 let req = SnapshotRequest {
@@ -211,7 +212,7 @@
             }
         }
         if let Some(targets) = snapshot.targets
-            && !self.goes_by_store()
+            && !self.has_targets_from_store()
         {
             self.directory.apply_targets(targets, self.borders.clock.now());
         }
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -12,7 +12,7 @@
 use crate::groups::failover;
 use crate::groups::group::Group;
 use crate::proxy::SETTLE_PERIOD;
-use crate::stats::Levels;
+use crate::stats::GaugeValues;
 use crate::targets::admission_limit::connection_share;
 use crate::targets::pacing;
 use crate::targets::target::Target;
@@ -70,7 +70,7 @@
 
     pub(crate) fn tend_target(&self, spec: Rc<TargetSpec>, allowance: Allowance, holders: usize) {
         let group = self.group_or_new(&spec.group);
-        if group.target(&spec.member).is_some_and(|it| it.spec().is_started_anew(&spec)) {
+        if group.target(&spec.member).is_some_and(|it| it.spec().is_restarted_in(&spec)) {
             log::info!(member = spec.member.as_str(), group = spec.group.as_str(); "G0758 a target has started anew");
             group.remove(&spec.member);
             group.does_not_lead(&spec.member, self.borders.clock.now());
@@ -213,10 +213,10 @@
         group
     }
 
-    pub(crate) fn levels(&self) -> Levels {
+    pub(crate) fn gauge_values(&self) -> GaugeValues {
         let groups = self.groups();
         let leaderless = groups.len() - self.reachable_leaders();
-        Levels {
+        GaugeValues {
             sessions: self.shutdown.sessions() as u64,
             configuration: self.directory.version(),
             is_partitioned: self.shutdown.partition_state() != PartitionState::Connected,
--- a/crates/gullspar_direct/src/fleet/limits.rs
+++ b/crates/gullspar_direct/src/fleet/limits.rs
@@ -127,7 +127,7 @@
         now: BootInstant,
     ) -> Result<(), NotRun> {
         if account.leased.borrow_mut().spend_in_grace(now) {
-            self.borders.stats.ran_in_grace();
+            self.borders.stats.ran_in_grace_period();
             return Ok(());
         }
         Err(self.limited(customer, ASK_WITHIN))
--- a/crates/gullspar_direct/src/lib.rs
+++ b/crates/gullspar_direct/src/lib.rs
@@ -34,7 +34,7 @@
 pub use reading::freshness::Freshness;
 pub use reading::readings::{Reading, Readings};
 pub use session::caller_opening::{serve_caller, serve_relayed_caller};
-pub use session::handed_on::HandedOn;
+pub use session::forwarded_session::ForwardedSession;
 pub use session::relay::{HomeLink, RelayMessage, RelayReply};
 pub use session::session_values::SessionValues;
 pub use session::shutdown::{PartitionState, Phase, Shutdown};
--- a/crates/gullspar_direct/src/proxy.rs
+++ b/crates/gullspar_direct/src/proxy.rs
@@ -68,7 +68,7 @@
     /// The homes of groups, as last worked out.
     pub(crate) home_plans: RefCell<BTreeMap<GroupName, HomePlan>>,
     pub(crate) limits: Limits,
-    pub(crate) store_heard: RefCell<Option<BootInstant>>,
+    pub(crate) last_store_contact: RefCell<Option<BootInstant>>,
     pub(crate) started: Instant,
     /// It has been able to serve callers.
     pub(crate) was_able_to_serve: Cell<bool>,
@@ -90,7 +90,7 @@
             held: RefCell::default(),
             home_plans: RefCell::default(),
             limits: Limits::default(),
-            store_heard: RefCell::new(None),
+            last_store_contact: RefCell::new(None),
             started,
             was_able_to_serve: Cell::new(false),
         })
@@ -105,10 +105,10 @@
         loop {
             let changed = self.directory.listen();
             let now = self.borders.clock.now();
-            let lapse = self.directory.drop_lapsed(now);
+            let lapse = self.directory.remove_expired(now);
             self.tend_groups();
             self.tend_limits();
-            self.borders.stats.levels(&self.levels());
+            self.borders.stats.record_gauges(&self.gauge_values());
             let until = lapse.map_or(now + TEND_EVERY, |it| it.min(now + TEND_EVERY));
             // Either way everything is looked at again.
             let _ = within(&*self.borders.clock, until, changed).await;
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -45,8 +45,8 @@
 
 impl Try {
     /// When to look whether another try is due.
-    fn look_at(&self, patience: Duration) -> Instant {
-        self.sent_at.get().unwrap_or(self.looked_at.get()) + patience
+    fn look_at(&self, hedge_delay: Duration) -> Instant {
+        self.sent_at.get().unwrap_or(self.looked_at.get()) + hedge_delay
     }
 }
 
@@ -65,7 +65,7 @@
         trace.member = Some(self.target.member());
         trace.on_leader = self.at_least.is_none();
         trace.at_least = self.at_least;
-        trace.reading_age_ms = self.reading_age.map(|it| it.as_millis() as u64);
+        trace.sample_age_ms = self.reading_age.map(|it| it.as_millis() as u64);
         trace.tries += 1;
     }
 }
@@ -113,7 +113,7 @@
                 }
             }
             let newest = running.last().filter(|_| !another_due);
-            let until = newest.map_or(req.deadline, |it| it.look_at(req.patience));
+            let until = newest.map_or(req.deadline, |it| it.look_at(req.hedge_delay));
             let Ok((ended, end)) = next_end(&*clock, &mut rx, until.min(req.deadline)).await else {
                 if let Some(newest) = running.last() {
                     another_due = self.another_is_due(group, req, &tried, newest);
@@ -124,7 +124,7 @@
             another_due = true;
             match end {
                 End::Answered(answer) => {
-                    let retry = answer.result.as_ref().is_err_and(Failure::failed_there);
+                    let retry = answer.result.as_ref().is_err_and(Failure::has_failed_on_target);
                     if !retry || failed.is_some() {
                         return answer;
                     }
@@ -163,7 +163,7 @@
     ) -> bool {
         let now = self.borders.clock.now();
         if newest.sent_at.get().is_some() {
-            return now >= newest.look_at(req.patience);
+            return now >= newest.look_at(req.hedge_delay);
         }
         newest.looked_at.set(now);
         let others: Vec<MemberName> =
--- a/crates/gullspar_direct/src/session/caller_opening.rs
+++ b/crates/gullspar_direct/src/session/caller_opening.rs
@@ -11,7 +11,7 @@
 use crate::session::opening::Opening;
 use crate::session::refusal;
 use crate::session::relay::{self, Relay};
-use crate::{HandedOn, Member, Proxy, Route};
+use crate::{ForwardedSession, Member, Proxy, Route};
 
 /// Serves one caller until it leaves or the instance ends.
 pub async fn serve_caller(proxy: Rc<Proxy>, link: Box<dyn CallerLink>) {
@@ -22,14 +22,14 @@
 pub async fn serve_relayed_caller(
     proxy: Rc<Proxy>,
     link: Box<dyn CallerLink>,
-    handed_on: HandedOn,
+    forwarded: ForwardedSession,
 ) {
-    serve(proxy, link, Some(handed_on)).await;
+    serve(proxy, link, Some(forwarded)).await;
 }
 
-async fn serve(proxy: Rc<Proxy>, link: Box<dyn CallerLink>, handed_on: Option<HandedOn>) {
+async fn serve(proxy: Rc<Proxy>, link: Box<dyn CallerLink>, forwarded: Option<ForwardedSession>) {
     proxy.shutdown.session_opened();
-    if let Err(err) = open(&proxy, link, handed_on).await {
+    if let Err(err) = open(&proxy, link, forwarded).await {
         log::debug!(reason = err.to_string().as_str(); "G0728 a caller's session broke off");
     }
     proxy.shutdown.session_closed();
@@ -39,16 +39,16 @@
 async fn open(
     proxy: &Rc<Proxy>,
     mut link: Box<dyn CallerLink>,
-    handed_on: Option<HandedOn>,
+    forwarded: Option<ForwardedSession>,
 ) -> Result<(), CallerLinkError> {
     let opening = link.next().await?;
     proxy.discovery.wait().await;
     let failure = match opening {
         Some(CallerMessage::Open { service, key }) => {
             let opening = Opening { service, key };
-            match agree(proxy, &opening, handed_on.as_ref()).await {
+            match agree(proxy, &opening, forwarded.as_ref()).await {
                 Ok(Agreed { route, customer }) => {
-                    return serve_opened(proxy, link, opening, route, customer, handed_on).await;
+                    return serve_opened(proxy, link, opening, route, customer, forwarded).await;
                 }
                 Err(answer) => return link.reply(&answer).await,
             }
@@ -72,10 +72,10 @@
 async fn agree(
     proxy: &Rc<Proxy>,
     opening: &Opening,
-    handed_on: Option<&HandedOn>,
+    forwarded: Option<&ForwardedSession>,
 ) -> Result<Agreed, Answer> {
     let refused = |failure| Answer::failed(failure, TransactionStatus::Idle);
-    if let Some(sender) = handed_on
+    if let Some(sender) = forwarded
         && !proxy.catches_up(opening, sender).await
     {
         // Whoever handed it on tries another one.
@@ -94,7 +94,7 @@
         proxy.borders.stats.key_refused();
         return Err(refused(refusal::unknown_key()));
     };
-    if let Some(reason) = proxy.session_refusal(&route, handed_on.is_some()) {
+    if let Some(reason) = proxy.session_refusal(&route, forwarded.is_some()) {
         log::info!(service = service.as_str(), reason = reason.text(); "G0764 a session is refused at its opening");
         return Err(refused(refusal::not_run(reason)));
     }
@@ -108,10 +108,10 @@
     opening: Opening,
     route: Route,
     customer: Option<CustomerName>,
-    handed_on: Option<HandedOn>,
+    forwarded: Option<ForwardedSession>,
 ) -> Result<(), CallerLinkError> {
     let ways = proxy.ways_around(&route.group);
-    if handed_on.is_some() {
+    if forwarded.is_some() {
         proxy.hold(&route.group);
         if ways.is_some() {
             return link.reply(&relay::no_home()).await;
@@ -119,20 +119,20 @@
         return Session::serve_to_end(proxy, link, opening, customer).await;
     }
     match proxy.other_homes(&route.group).or(ways) {
-        Some(homes) => hand_on(proxy, link, opening, route.group, &homes).await,
+        Some(homes) => forward(proxy, link, opening, route.group, &homes).await,
         None => Session::serve_to_end(proxy, link, opening, customer).await,
     }
 }
 
-async fn hand_on(
+async fn forward(
     proxy: &Rc<Proxy>,
     mut link: Box<dyn CallerLink>,
     opening: Opening,
     group: GroupName,
     homes: &[Member],
 ) -> Result<(), CallerLinkError> {
-    let handed_on = HandedOn { catalogue_version: proxy.directory.version(), group };
-    let Some((opened, home)) = relay::open(proxy, homes, &opening, &handed_on).await else {
+    let forwarded = ForwardedSession { catalogue_version: proxy.directory.version(), group };
+    let Some((opened, home)) = relay::open(proxy, homes, &opening, &forwarded).await else {
         return link.reply(&relay::no_home()).await;
     };
     link.reply(&opened).await?;
--- a/crates/gullspar_direct/src/session/caller_session.rs
+++ b/crates/gullspar_direct/src/session/caller_session.rs
@@ -20,10 +20,10 @@
 use crate::{Phase, Proxy, Route, SessionValues};
 
 /// A read may be silent for this part of the callers' objective before a second target is asked.
-const PATIENCE_DIVISOR: u64 = 2;
+const HEDGE_DELAY_DIVISOR: u64 = 2;
 
-/// The least patience, so that a short objective does not double the load: several times the usual work.
-const LEAST_PATIENCE: Duration = Duration::from_millis(60);
+/// The least hedge_delay, so that a short objective does not double the load: several times the usual work.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(60);
 
 /// A session that is served here.
 pub(crate) struct Session {
@@ -44,7 +44,7 @@
     /// What the statement before did to data, if it was for a target.
     ran: Option<Access>,
     /// The other side knows that the session is to end, and ends it.
-    asked_to_end: bool,
+    end_requested: bool,
 }
 
 /// What a session waits for.
@@ -80,7 +80,7 @@
             idle_deadline: None,
             trace: Trace::default(),
             ran: None,
-            asked_to_end: false,
+            end_requested: false,
         };
         let served = session.serve().await;
         if let Err(err) = &served {
@@ -112,10 +112,10 @@
                 }
                 Event::Message(CallerMessage::Close) | Event::Gone => return Ok(()),
                 Event::Shutdown => {
-                    if !self.link.ask_to_end().await? {
+                    if !self.link.request_end().await? {
                         return Ok(());
                     }
-                    self.asked_to_end = true;
+                    self.end_requested = true;
                 }
                 Event::TransactionIdle => self.give_up_idle(),
             }
@@ -150,10 +150,10 @@
     fn ends_now(&self) -> bool {
         let shutdown = &self.proxy.shutdown;
         let due = match self.transaction {
-            None => shutdown.sheds_idle() || self.is_misplaced(),
+            None => shutdown.should_close_idle() || self.is_misplaced(),
             Some(_) => shutdown.phase() >= Phase::ClosingAll,
         };
-        due && !self.asked_to_end && self.link.is_quiet()
+        due && !self.end_requested && self.link.is_quiet()
     }
 
     /// Whether another instance should serve this session by now.
@@ -229,11 +229,11 @@
         }
         match &answer.result {
             Ok(Some(_)) => {
-                log::info!(request = id.as_str(), service = self.opening.service.as_str(), action = action, took_ms = took.as_millis() as u64, member = self.trace.member(), part = self.trace.part(), tries = self.trace.tries, at_least = self.trace.at_least().as_str(), reading_age_ms = self.trace.reading_age().as_str(), point = trace::point(answer.point).as_str(); "G0733 a statement was served");
+                log::info!(request = id.as_str(), service = self.opening.service.as_str(), action = action, took_ms = took.as_millis() as u64, member = self.trace.member(), part = self.trace.role(), tries = self.trace.tries, at_least = self.trace.at_least().as_str(), reading_age_ms = self.trace.sample_age().as_str(), point = trace::point(answer.point).as_str(); "G0733 a statement was served");
             }
             Ok(None) => {}
             Err(failure) => {
-                log::info!(request = id.as_str(), service = self.opening.service.as_str(), action = action, took_ms = took.as_millis() as u64, code:? = failure.code, reason = failure.text.as_str(), member = self.trace.member(), part = self.trace.part(), tries = self.trace.tries, at_least = self.trace.at_least().as_str(), reading_age_ms = self.trace.reading_age().as_str(), version = self.proxy.directory.version(); "G0734 a statement failed");
+                log::info!(request = id.as_str(), service = self.opening.service.as_str(), action = action, took_ms = took.as_millis() as u64, code:? = failure.code, reason = failure.text.as_str(), member = self.trace.member(), part = self.trace.role(), tries = self.trace.tries, at_least = self.trace.at_least().as_str(), reading_age_ms = self.trace.sample_age().as_str(), version = self.proxy.directory.version(); "G0734 a statement failed");
             }
         }
         answer
@@ -428,7 +428,7 @@
             Some((definition, arguments)) => Body::Prepared { definition, arguments },
         };
         let now = self.proxy.borders.clock.now();
-        let patience = Duration::from_millis(route.objective_ms / PATIENCE_DIVISOR);
+        let hedge_delay = Duration::from_millis(route.objective_ms / HEDGE_DELAY_DIVISOR);
         Request {
             id: statement.id.clone(),
             body,
@@ -440,7 +440,7 @@
             own_commit: self.own_commit,
             deadline: now + Duration::from_millis(route.statement_ms),
             objective: now + Duration::from_millis(route.objective_ms),
-            patience: patience.max(LEAST_PATIENCE),
+            hedge_delay: hedge_delay.max(MIN_HEDGE_DELAY),
             priority: route.priority,
         }
     }
--- a/crates/gullspar_direct/src/session/handed_on.rs
+++ b/crates/gullspar_direct/src/session/forwarded_session.rs
@@ -14,7 +14,7 @@
 
 record! {
     /// What the instance that hands a session on goes by.
-    pub struct HandedOn {
+    pub struct ForwardedSession {
         pub catalogue_version: u64,
         /// The group that serves the session there.
         pub group: GroupName,
@@ -22,7 +22,7 @@
 }
 
 impl Proxy {
-    fn agrees(&self, opening: &Opening, sender: &HandedOn) -> bool {
+    fn agrees(&self, opening: &Opening, sender: &ForwardedSession) -> bool {
         let Some(catalogue) = self.directory.catalogue() else { return false };
         let route = catalogue.routes.get(&opening.service);
         let admits = route.is_some_and(|it| {
@@ -35,7 +35,7 @@
     ///
     /// A home that is back from a suspension or a cut goes by an old one for a moment. Its word is passed on by an
     /// instance that knows better: seen as a caller that was refused a service 6 s after it was added.
-    pub(crate) async fn catches_up(&self, opening: &Opening, sender: &HandedOn) -> bool {
+    pub(crate) async fn catches_up(&self, opening: &Opening, sender: &ForwardedSession) -> bool {
         let clock = &self.borders.clock;
         let deadline = clock.now() + CATCH_UP_WITHIN;
         loop {
--- a/crates/gullspar_direct/src/session/mod.rs
+++ b/crates/gullspar_direct/src/session/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod caller_opening;
 pub(crate) mod caller_session;
-pub(crate) mod handed_on;
+pub(crate) mod forwarded_session;
 pub(crate) mod opening;
 pub(crate) mod refusal;
 pub(crate) mod relay;
--- a/crates/gullspar_direct/src/session/relay.rs
+++ b/crates/gullspar_direct/src/session/relay.rs
@@ -12,7 +12,7 @@
 
 use crate::session::opening::Opening;
 use crate::session::refusal;
-use crate::{HandedOn, Member, Phase, Proxy};
+use crate::{ForwardedSession, Member, Phase, Proxy};
 
 /// How long opening a session at a home may take before the next one is tried: a few milliseconds, and
 /// more after a power loss, when all sessions open anew.
@@ -62,13 +62,13 @@
     proxy: &Proxy,
     homes: &[Member],
     opening: &Opening,
-    handed_on: &HandedOn,
+    forwarded: &ForwardedSession,
 ) -> Option<(Answer, Home)> {
     let clock = &proxy.borders.clock;
     for home in homes {
         let deadline = clock.now() + OPEN_WITHIN;
         let opened =
-            within(&**clock, deadline, open_at(proxy, home, opening, handed_on, deadline)).await;
+            within(&**clock, deadline, open_at(proxy, home, opening, forwarded, deadline)).await;
         let reason = match opened {
             Ok(Ok((answer, link))) if !refuses(&answer) => {
                 return Some((answer, Home { id: home.id.clone(), link }));
@@ -87,11 +87,11 @@
     proxy: &Proxy,
     home: &Member,
     opening: &Opening,
-    handed_on: &HandedOn,
+    forwarded: &ForwardedSession,
     deadline: Instant,
 ) -> Result<(Answer, Box<dyn HomeLink>), PeerError> {
     let peers = &proxy.borders.peers;
-    let mut link = peers.open_session(home.address, handed_on.clone(), deadline).await?;
+    let mut link = peers.open_session(home.address, forwarded.clone(), deadline).await?;
     link.send(&RelayMessage::Caller(opening.message())).await?;
     match link.next().await? {
         Some(RelayReply::Answer(answer)) => Ok((answer, link)),
@@ -170,7 +170,7 @@
     fn may_end(&self) -> bool {
         let shutdown = &self.proxy.shutdown;
         let due = match self.status {
-            TransactionStatus::Idle => self.ending || shutdown.sheds_idle(),
+            TransactionStatus::Idle => self.ending || shutdown.should_close_idle(),
             _ => self.ending || shutdown.phase() >= Phase::ClosingAll,
         };
         due && self.unanswered == 0 && (self.ending || self.caller.is_quiet())
--- a/crates/gullspar_direct/src/session/request.rs
+++ b/crates/gullspar_direct/src/session/request.rs
@@ -37,7 +37,7 @@
     /// When the caller wants its answer.
     pub(crate) objective: Instant,
     /// How long a target may be silent before a read is tried on another one as well.
-    pub(crate) patience: Duration,
+    pub(crate) hedge_delay: Duration,
     pub(crate) priority: u8,
 }
 
--- a/crates/gullspar_direct/src/session/shutdown.rs
+++ b/crates/gullspar_direct/src/session/shutdown.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether sessions without a transaction are to connect elsewhere.
-    pub(crate) fn sheds_idle(&self) -> bool {
+    pub(crate) fn should_close_idle(&self) -> bool {
         self.phase.get() >= Phase::ClosingIdle
             || self.partition_state.get() == PartitionState::OutOfRotation
     }
--- a/crates/gullspar_direct/src/session/trace.rs
+++ b/crates/gullspar_direct/src/session/trace.rs
@@ -15,7 +15,7 @@
     /// The point that a replica had to have reached.
     pub(crate) at_least: Option<LogPoint>,
     /// How old the reading behind that point was when it was chosen, in milliseconds.
-    pub(crate) reading_age_ms: Option<u64>,
+    pub(crate) sample_age_ms: Option<u64>,
     /// Targets asked.
     pub(crate) tries: u32,
 }
@@ -27,7 +27,7 @@
     }
 
     /// What that target was in its group.
-    pub(crate) fn part(&self) -> &'static str {
+    pub(crate) fn role(&self) -> &'static str {
         match (&self.member, self.on_leader) {
             (None, _) => NONE,
             (Some(_), true) => "leader",
@@ -41,8 +41,8 @@
     }
 
     /// How old the reading behind that point was.
-    pub(crate) fn reading_age(&self) -> String {
-        self.reading_age_ms.map_or_else(|| NONE.to_owned(), |it| it.to_string())
+    pub(crate) fn sample_age(&self) -> String {
+        self.sample_age_ms.map_or_else(|| NONE.to_owned(), |it| it.to_string())
     }
 }
 
--- a/crates/gullspar_direct/src/stats.rs
+++ b/crates/gullspar_direct/src/stats.rs
@@ -17,15 +17,15 @@
 pub struct Stats {
     statements: Counter<u64>,
     statement_seconds: Histogram<f64>,
-    place_seconds: Histogram<f64>,
+    permit_wait_seconds: Histogram<f64>,
     transactions_lost: Counter<u64>,
     promotions: Counter<u64>,
-    targets_dark: Counter<u64>,
+    unresponsive_targets: Counter<u64>,
     rolled_back_points: Counter<u64>,
     acknowledged_alone: Counter<u64>,
     keys_refused: Counter<u64>,
     limited: Counter<u64>,
-    in_grace: Counter<u64>,
+    in_grace_period: Counter<u64>,
     connections: Counter<u64>,
     sessions: Gauge<u64>,
     configuration: Gauge<u64>,
@@ -36,7 +36,7 @@
 }
 
 /// What is measured at intervals.
-pub(crate) struct Levels {
+pub(crate) struct GaugeValues {
     pub(crate) sessions: u64,
     pub(crate) configuration: u64,
     pub(crate) is_partitioned: bool,
@@ -65,7 +65,7 @@
                 "gullspar_statement_duration",
                 "From a statement's arrival to its answer.",
             ),
-            place_seconds: histogram(
+            permit_wait_seconds: histogram(
                 "gullspar_place_wait",
                 "From asking for a place at a target to having one.",
             ),
@@ -74,7 +74,10 @@
                 "Transactions whose connection was lost.",
             ),
             promotions: counter("gullspar_promotions", "Promotions ordered, by result."),
-            targets_dark: counter("gullspar_targets_dark", "Times that a target fell silent."),
+            unresponsive_targets: counter(
+                "gullspar_targets_dark",
+                "Times that a target fell silent.",
+            ),
             rolled_back_points: counter(
                 "gullspar_rolled_back_commits",
                 "Commits that a failover may have undone: those between the new leader's log and the \
@@ -92,7 +95,7 @@
                 "gullspar_limited_operations",
                 "Operations refused since their customer is at its limit.",
             ),
-            in_grace: counter(
+            in_grace_period: counter(
                 "gullspar_operations_in_grace",
                 "Operations run while the owner of their customer's quota granted nothing.",
             ),
@@ -130,8 +133,8 @@
         self.statements.add(1, &[access, part, outcome]);
     }
 
-    pub(crate) fn place(&self, waited: Duration) {
-        self.place_seconds.record(waited.as_secs_f64(), &[]);
+    pub(crate) fn permit_wait(&self, waited: Duration) {
+        self.permit_wait_seconds.record(waited.as_secs_f64(), &[]);
     }
 
     pub(crate) fn transaction_lost(&self) {
@@ -142,8 +145,8 @@
         self.promotions.add(1, &[KeyValue::new("result", result)]);
     }
 
-    pub(crate) fn target_dark(&self) {
-        self.targets_dark.add(1, &[]);
+    pub(crate) fn target_unresponsive(&self) {
+        self.unresponsive_targets.add(1, &[]);
     }
 
     pub(crate) fn rolled_back(&self, commits: u64) {
@@ -162,21 +165,21 @@
         self.limited.add(1, &[]);
     }
 
-    pub(crate) fn ran_in_grace(&self) {
-        self.in_grace.add(1, &[]);
+    pub(crate) fn ran_in_grace_period(&self) {
+        self.in_grace_period.add(1, &[]);
     }
 
     pub(crate) fn connection(&self, event: &'static str) {
         self.connections.add(1, &[KeyValue::new("event", event)]);
     }
 
-    pub(crate) fn levels(&self, levels: &Levels) {
-        self.sessions.record(levels.sessions, &[]);
-        self.configuration.record(levels.configuration, &[]);
-        self.partitioned.record(u64::from(levels.is_partitioned), &[]);
-        self.leaderless.record(levels.leaderless, &[]);
-        self.instances.record(levels.instances, &[]);
-        if let Some(silent_ms) = levels.store_silent_ms {
+    pub(crate) fn record_gauges(&self, values: &GaugeValues) {
+        self.sessions.record(values.sessions, &[]);
+        self.configuration.record(values.configuration, &[]);
+        self.partitioned.record(u64::from(values.is_partitioned), &[]);
+        self.leaderless.record(values.leaderless, &[]);
+        self.instances.record(values.instances, &[]);
+        if let Some(silent_ms) = values.store_silent_ms {
             self.store_silent.record(silent_ms, &[]);
         }
     }
--- a/crates/gullspar_direct/src/targets/attempt.rs
+++ b/crates/gullspar_direct/src/targets/attempt.rs
@@ -191,7 +191,7 @@
         let Some(answer) = answers.pop() else { return Err(End::Lost) };
         self.target.note_point(answer.point);
         self.target.heard(clock.boot_now());
-        let failed = answer.result.as_ref().is_err_and(Failure::failed_there);
+        let failed = answer.result.as_ref().is_err_and(Failure::has_failed_on_target);
         if failed || answer.result.is_ok() {
             self.target.ran(failed, clock.now());
         }
--- a/crates/gullspar_direct/src/targets/target.rs
+++ b/crates/gullspar_direct/src/targets/target.rs
@@ -107,7 +107,7 @@
     pub(crate) async fn admit(&self, req: &Request) -> Result<Permit, NotRun> {
         let asked = self.clock.now();
         let permit = self.admission.enter_by(req.priority, req.objective, req.deadline).await?;
-        self.stats.place(self.clock.now().saturating_duration_since(asked));
+        self.stats.permit_wait(self.clock.now().saturating_duration_since(asked));
         // It may have waited for long.
         if self.is_past_leaving() { Err(NotRun::NoPrimary) } else { Ok(permit) }
     }
--- a/crates/gullspar_direct/src/targets/target_watch.rs
+++ b/crates/gullspar_direct/src/targets/target_watch.rs
@@ -60,7 +60,7 @@
             Check::Missed => {
                 if target.missed() {
                     log::warn!(member = target.member().as_str(); "G0709 a target does not answer");
-                    borders.stats.target_dark();
+                    borders.stats.target_unresponsive();
                     target.pool.drop_idle();
                     group.note_dark(borders.clock.boot_now());
                 }
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -266,9 +266,9 @@
         let result = around.run_raw(req, permit, lease, None).await;
         match result {
             Ok((answer, lease)) => {
-                let refused = answer.result.as_ref().is_err_and(Failure::did_not_run);
+                let refused = answer.result.as_ref().is_err_and(Failure::has_not_run);
                 // One that only reads may begin anew on another target.
-                let failed = answer.result.as_ref().is_err_and(Failure::failed_there)
+                let failed = answer.result.as_ref().is_err_and(Failure::has_failed_on_target)
                     && place.at_least.is_some();
                 if refused || failed {
                     if let Some(lease) = lease {
--- a/crates/gullspar_direct/tests/knowledge.rs
+++ b/crates/gullspar_direct/tests/knowledge.rs
@@ -84,9 +84,9 @@
     );
     assert_eq!(directory.targets().len(), 3);
     assert_eq!(directory.target_list().targets.len(), 2, "others are told what is listed");
-    directory.drop_lapsed(now + Duration::from_secs(2));
+    directory.remove_expired(now + Duration::from_secs(2));
     assert_eq!(directory.targets().len(), 3);
-    directory.drop_lapsed(now + Duration::from_secs(3));
+    directory.remove_expired(now + Duration::from_secs(3));
     assert_eq!(directory.targets().len(), 2);
 }
 
@@ -120,7 +120,7 @@
         let mut targets = FakeGroup::new(GROUP, 1).specs();
         targets[0] = TargetSpec { started_ms, beat, slots, ..targets[0].clone() };
         directory.apply_targets(TargetList { revision: Revision::new(0, revision), targets }, now);
-        directory.drop_lapsed(now);
+        directory.remove_expired(now);
         directory.targets().first().map(|it| it.slots)
     };
     assert_eq!(list(Some(1000), 7, 1, now), Some(1));
@@ -211,7 +211,7 @@
         let other = world.instance(2);
         one.directory.apply_catalogue(catalogue(7));
         until(1500, "the configuration is there", || other.directory.version() == 7).await;
-        one.store_answered();
+        one.record_store_answer();
         world.group.leaves(1);
         world.list_targets(&one, 9);
         until(1500, "the targets are there", || {
@@ -229,8 +229,8 @@
         let world = World::new();
         let one = world.instance(1);
         let other = world.instance(2);
-        one.store_answered();
-        other.store_answered();
+        one.record_store_answer();
+        other.record_store_answer();
         world.list_targets(&one, 9);
         pause(800).await;
         assert_eq!(other.directory.target_revision(), Revision::new(0, 1));
@@ -278,16 +278,16 @@
     let other = Directory::default();
     other.apply_targets(list(1, 90, &all[..2]), now);
     other.apply_targets(list(2, 50, &all), now);
-    other.drop_lapsed(now + Duration::from_millis(1900));
+    other.remove_expired(now + Duration::from_millis(1900));
     assert_eq!(other.targets().len(), 2, "it is still doubted");
-    other.drop_lapsed(now + Duration::from_millis(2100));
+    other.remove_expired(now + Duration::from_millis(2100));
     assert_eq!(other.targets().len(), 3, "it is listed for longer than those that left");
 
     let third = Directory::default();
     third.apply_targets(list(1, 90, &all[..2]), now);
     third.apply_targets(list(2, 50, &all), now);
     third.apply_targets(list(2, 51, &all[..2]), now + Duration::from_millis(1500));
-    third.drop_lapsed(now + Duration::from_millis(2100));
+    third.remove_expired(now + Duration::from_millis(2100));
     assert_eq!(third.targets().len(), 2, "it had left");
 }
 
--- a/crates/gullspar_direct/tests/news.rs
+++ b/crates/gullspar_direct/tests/news.rs
@@ -41,11 +41,11 @@
     run(async {
         let world = World::new();
         let proxies: Vec<Rc<Proxy>> = (1..=MANY).map(|it| world.instance(it)).collect();
-        proxies.iter().for_each(|it| it.store_answered());
+        proxies.iter().for_each(|it| it.record_store_answer());
         all_know_each_other(&world, &proxies).await;
-        proxies.iter().for_each(|it| it.store_answered());
-        let follower = proxies.iter().find(|it| it.follows_store()).unwrap();
-        let other = proxies.iter().find(|it| !it.follows_store()).unwrap();
+        proxies.iter().for_each(|it| it.record_store_answer());
+        let follower = proxies.iter().find(|it| it.should_follow_store()).unwrap();
+        let other = proxies.iter().find(|it| !it.should_follow_store()).unwrap();
         world.list_targets(other, 5);
         world.list_targets(follower, 9);
         let told = || other.directory.target_revision() == Revision::new(0, 9);
@@ -81,10 +81,13 @@
         let world = World::new();
         let proxies: Vec<Rc<Proxy>> = (1..=MANY).map(|it| world.instance(it)).collect();
         all_know_each_other(&world, &proxies).await;
-        assert!(proxies.iter().all(|it| it.follows_store()), "nobody reaches it, so that all try");
-        let often = proxies.iter().filter(|it| it.store_pause().is_zero()).count();
+        assert!(
+            proxies.iter().all(|it| it.should_follow_store()),
+            "nobody reaches it, so that all try"
+        );
+        let often = proxies.iter().filter(|it| it.store_retry_delay().is_zero()).count();
         assert_eq!(often, 2, "two in the one data centre");
-        let seldom = proxies.iter().map(|it| it.store_pause()).filter(|it| !it.is_zero());
+        let seldom = proxies.iter().map(|it| it.store_retry_delay()).filter(|it| !it.is_zero());
         assert!(seldom.min().unwrap() >= Duration::from_millis(50 * u64::from(MANY)));
     });
 }
--- a/crates/gullspar_direct/tests/support/fake_peers.rs
+++ b/crates/gullspar_direct/tests/support/fake_peers.rs
@@ -10,7 +10,7 @@
 use futures::future::LocalBoxFuture;
 use gullspar_border::PeerError;
 use gullspar_direct::{
-    HandedOn, HomeLink, PeerChannel, PeerMessage, Proxy, Snapshot, SnapshotRequest,
+    ForwardedSession, HomeLink, PeerChannel, PeerMessage, Proxy, Snapshot, SnapshotRequest,
     serve_relayed_caller,
 };
 
@@ -106,7 +106,7 @@
     fn open_session(
         &self,
         to: SocketAddr,
-        handed_on: HandedOn,
+        handed_on: ForwardedSession,
         _deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<Box<dyn HomeLink>, PeerError>> {
         let result = match self.network.reach(self.own, to) {
--- a/crates/gullspar_direct/tests/support/fake_relay.rs
+++ b/crates/gullspar_direct/tests/support/fake_relay.rs
@@ -65,7 +65,7 @@
         true
     }
 
-    fn ask_to_end(&mut self) -> LocalBoxFuture<'_, Result<bool, CallerLinkError>> {
+    fn request_end(&mut self) -> LocalBoxFuture<'_, Result<bool, CallerLinkError>> {
         let _ = self.tx.unbounded_send(RelayReply::Ending);
         async { Ok(true) }.boxed_local()
     }
--- a/crates/gullspar_net/src/datagram_peers.rs
+++ b/crates/gullspar_net/src/datagram_peers.rs
@@ -10,7 +10,7 @@
 use futures::future::LocalBoxFuture;
 use gullspar_border::{Clock, PeerError, within};
 use gullspar_direct::{
-    HandedOn, HomeLink, PeerChannel, PeerMessage, Proxy, Snapshot, SnapshotRequest,
+    ForwardedSession, HomeLink, PeerChannel, PeerMessage, Proxy, Snapshot, SnapshotRequest,
     serve_relayed_caller,
 };
 
@@ -83,7 +83,7 @@
     fn open_session(
         &self,
         to: SocketAddr,
-        handed_on: HandedOn,
+        handed_on: ForwardedSession,
         deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<Box<dyn HomeLink>, PeerError>> {
         let clock = Rc::clone(&self.clock);
--- a/crates/gullspar_net/src/framed.rs
+++ b/crates/gullspar_net/src/framed.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, BytesMut};
 use gullspar_border::{Link, PeerError};
-use gullspar_direct::{HandedOn, SnapshotRequest};
+use gullspar_direct::{ForwardedSession, SnapshotRequest};
 use gullspar_model::record;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -24,7 +24,7 @@
         /// Asks for what is newer; one snapshot answers it.
         Snapshot(SnapshotRequest),
         /// A caller's session follows.
-        Session(HandedOn),
+        Session(ForwardedSession),
     }
 }
 
--- a/crates/gullspar_net/src/relay_link.rs
+++ b/crates/gullspar_net/src/relay_link.rs
@@ -6,7 +6,7 @@
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
 use gullspar_border::PeerError;
-use gullspar_direct::{HandedOn, HomeLink, RelayMessage, RelayReply};
+use gullspar_direct::{ForwardedSession, HomeLink, RelayMessage, RelayReply};
 use gullspar_statement::{Answer, CallerLink, CallerLinkError, CallerMessage};
 
 use crate::TcpLink;
@@ -21,7 +21,7 @@
     /// Connects to the instance at `to` for one session.
     pub(crate) async fn open(
         to: SocketAddr,
-        handed_on: HandedOn,
+        handed_on: ForwardedSession,
     ) -> Result<TcpHomeLink, PeerError> {
         let stream = TcpStream::connect(to).await.map_err(PeerError::no_answer)?;
         let mut framed = Framed::new(TcpLink::new(stream));
@@ -74,7 +74,7 @@
         self.framed.is_quiet()
     }
 
-    fn ask_to_end(&mut self) -> LocalBoxFuture<'_, Result<bool, CallerLinkError>> {
+    fn request_end(&mut self) -> LocalBoxFuture<'_, Result<bool, CallerLinkError>> {
         async move {
             self.framed.write(&RelayReply::Ending).await.map_err(broken)?;
             Ok(true)
--- a/crates/gullspar_statement/src/caller_link.rs
+++ b/crates/gullspar_statement/src/caller_link.rs
@@ -56,7 +56,7 @@
 
     /// Asks the other side to end the session, where it can be asked; `false` where it can't, and the
     /// session is simply closed.
-    fn ask_to_end(&mut self) -> LocalBoxFuture<'_, Result<bool, CallerLinkError>> {
+    fn request_end(&mut self) -> LocalBoxFuture<'_, Result<bool, CallerLinkError>> {
         async { Ok(false) }.boxed_local()
     }
 }
--- a/crates/gullspar_statement/src/failure.rs
+++ b/crates/gullspar_statement/src/failure.rs
@@ -53,12 +53,12 @@
     }
 
     /// Whether the target ran it and it failed there; another target may do better.
-    pub fn failed_there(&self) -> bool {
+    pub fn has_failed_on_target(&self) -> bool {
         self.code == FailureCode::Failed
     }
 
     /// Whether the target that reported it certainly did not run the statement.
-    pub fn did_not_run(&self) -> bool {
+    pub fn has_not_run(&self) -> bool {
         matches!(
             self.code,
             FailureCode::Congested
--- a/crates/gullspar_statement/src/target_spec.rs
+++ b/crates/gullspar_statement/src/target_spec.rs
@@ -6,14 +6,14 @@
 
 impl TargetSpec {
     /// Whether `newer` tells of a later start of the process.
-    pub fn is_started_anew(&self, newer: &TargetSpec) -> bool {
+    pub fn is_restarted_in(&self, newer: &TargetSpec) -> bool {
         newer.started_ms > self.started_ms
     }
 
     /// Whether this says more recent things of the target than `other` does.
     ///
     /// Only entries that tell their start can be ordered: without it a count that began anew looks old.
-    pub fn is_after(&self, other: &TargetSpec) -> bool {
+    pub fn is_newer_than(&self, other: &TargetSpec) -> bool {
         match (self.started_ms, other.started_ms) {
             (Some(own), Some(others)) => (own, self.beat) > (others, other.beat),
             (own, others) => own > others,
