--- a/crates/gullspar_bench/benches/control.rs
+++ b/crates/gullspar_bench/benches/control.rs
@@ -52,7 +52,7 @@
     /// What failovers within 5 s allow.
     fn planned() -> Pace {
         let mut timing = InstanceTiming::default();
-        timing.fleet.gossip_every = Duration::from_millis(400);
+        timing.fleet.gossip_interval = Duration::from_millis(400);
         timing.group.status_wait = Duration::from_millis(1000);
         timing.group.failed_after = Duration::from_millis(2500);
         Pace { name: "planned", timing }
--- a/crates/gullspar_fleet/src/config_sync.rs
+++ b/crates/gullspar_fleet/src/config_sync.rs
@@ -37,7 +37,7 @@
                 continue;
             }
             let sent_at = clock.now();
-            let wait_ms = pace.wait(self.timing.watch_for).as_millis() as u64;
+            let wait_ms = pace.wait(self.timing.watch_timeout).as_millis() as u64;
             match self.borders.platform.watch(PREFIX, revision, wait_ms).await {
                 Ok(reply) => {
                     pace.answered();
@@ -65,11 +65,11 @@
             .into_iter()
             .map(|it| ConfigEntry { key: it.key, version: it.version, value: it.value })
             .collect();
-        self.take_entries(entries, true);
+        self.apply_entries(entries, true);
     }
 
     /// Puts entries in force and, as a relay, hands the new ones to the others of the data centre.
-    pub fn take_entries(self: &Rc<Self>, entries: Vec<ConfigEntry>, pass_on: bool) {
+    pub fn apply_entries(self: &Rc<Self>, entries: Vec<ConfigEntry>, pass_on: bool) {
         let fresh: Vec<ConfigEntry> =
             entries.into_iter().filter(|it| self.config.apply(it)).collect();
         if fresh.is_empty() || !pass_on {
@@ -85,8 +85,8 @@
 
     /// Puts entries in force here and on all other instances, through the relays of each data
     /// centre, without waiting for the platform's watches.
-    pub fn spread(self: &Rc<Self>, entries: Vec<ConfigEntry>) {
-        self.take_entries(entries.clone(), true);
+    pub fn distribute(self: &Rc<Self>, entries: Vec<ConfigEntry>) {
+        self.apply_entries(entries.clone(), true);
         let own = self.data_centre();
         let data_centres: BTreeSet<DataCentre> =
             self.instances().into_iter().map(|it| it.data_centre).filter(|it| *it != own).collect();
@@ -100,7 +100,7 @@
     fn push(&self, peers: Vec<SocketAddr>, entries: &[ConfigEntry], pass_on: bool) {
         for peer in peers {
             let req = PeerRequest::Push { entries: entries.to_vec(), pass_on };
-            let deadline = self.borders.clock.now() + self.timing.answer_within;
+            let deadline = self.borders.clock.now() + self.timing.answer_timeout;
             let call = self.borders.peers.call(peer, req, deadline);
             // An instance that misses the push notices by its digest at the next exchange.
             compio::runtime::spawn(async move { drop(call.await) }).detach();
@@ -110,10 +110,10 @@
     /// Takes whatever the instance at `peer` has newer.
     pub(crate) async fn pull_from(self: &Rc<Self>, peer: SocketAddr) {
         let req = PeerRequest::Pull { known: self.config.versions() };
-        let deadline = self.borders.clock.now() + 4 * self.timing.answer_within;
+        let deadline = self.borders.clock.now() + 4 * self.timing.answer_timeout;
         if let Ok(PeerReply::Entries(entries)) = self.borders.peers.call(peer, req, deadline).await
         {
-            self.take_entries(entries, false);
+            self.apply_entries(entries, false);
         }
     }
 }
--- a/crates/gullspar_fleet/src/gossip.rs
+++ b/crates/gullspar_fleet/src/gossip.rs
@@ -22,7 +22,7 @@
     pub(crate) async fn run_gossip(self: Rc<Self>) {
         let mut round = self.borders.entropy.next_u64() % REVIVE_EVERY;
         loop {
-            let pause = jittered(&*self.borders.entropy, self.timing.gossip_every);
+            let pause = jittered(&*self.borders.entropy, self.timing.gossip_interval);
             let next = self.borders.clock.now() + pause;
             round += 1;
             match self.pick(round) {
@@ -72,7 +72,7 @@
             return;
         }
         let probes = self.probers(&other).into_iter().map(|prober| {
-            let deadline = self.borders.clock.now() + 2 * self.timing.answer_within;
+            let deadline = self.borders.clock.now() + 2 * self.timing.answer_timeout;
             let req = PeerRequest::Probe { peer: other.peer };
             self.borders.peers.call(prober.peer, req, deadline)
         });
@@ -95,7 +95,7 @@
     fn due_at(&self, state: InstanceState) -> Option<Instant> {
         let now = self.borders.clock.now();
         match state {
-            InstanceState::Suspect => Some(now + self.timing.suspect_for),
+            InstanceState::Suspect => Some(now + self.timing.suspect_timeout),
             InstanceState::Dead => Some(now + self.timing.forget_dead_after),
             InstanceState::Alive | InstanceState::Leaving => None,
         }
@@ -122,7 +122,7 @@
             let from = self.own.borrow().clone();
             PeerRequest::Exchange { from, news, config_digest: self.config.digest() }
         };
-        let deadline = self.borders.clock.now() + self.timing.answer_within;
+        let deadline = self.borders.clock.now() + self.timing.answer_timeout;
         let reply = self.borders.peers.call(peer, req, deadline).await;
         let Ok(PeerReply::Exchanged { from, news, config_digest }) = reply else { return false };
         self.hear(&from, &news);
--- a/crates/gullspar_group/src/promotion.rs
+++ b/crates/gullspar_group/src/promotion.rs
@@ -158,7 +158,7 @@
 
     fn take(&self, version: ObjectVersion, object: &GroupObject) {
         let entry = ConfigEntry { key: self.key(), version, value: to_json(object) };
-        self.watch.fleet.spread(vec![entry]);
+        self.watch.fleet.distribute(vec![entry]);
     }
 
     fn key(&self) -> String {
--- a/crates/gullspar_instance/src/instance.rs
+++ b/crates/gullspar_instance/src/instance.rs
@@ -58,7 +58,7 @@
     /// The pace that `settings` ask for.
     pub fn from_settings(settings: &InstanceSettings) -> InstanceTiming {
         let mut timing = InstanceTiming::default();
-        timing.fleet.gossip_every = Duration::from_millis(settings.gossip_ms);
+        timing.fleet.gossip_interval = Duration::from_millis(settings.gossip_ms);
         timing.group.status_wait = Duration::from_millis(settings.status_wait_ms);
         timing.group.failed_after = Duration::from_millis(settings.failed_after_ms);
         timing
--- a/crates/gullspar_instance/src/peer_side.rs
+++ b/crates/gullspar_instance/src/peer_side.rs
@@ -22,7 +22,7 @@
                     PeerReply::Entries(self.fleet.config.newer_than(&known))
                 }
                 PeerRequest::Push { entries, pass_on } => {
-                    self.fleet.take_entries(entries, pass_on);
+                    self.fleet.apply_entries(entries, pass_on);
                     PeerReply::Accepted
                 }
                 PeerRequest::ViewOfPrimary { group, term } => {
--- a/crates/gullspar_operator/src/confirm.rs
+++ b/crates/gullspar_operator/src/confirm.rs
@@ -93,7 +93,7 @@
         let service = plan.intent.service();
         let value = to_value(&plan.result).to_string();
         let entry = ConfigEntry { key: Operator::key(service), version, value };
-        self.fleet.spread(vec![entry]);
+        self.fleet.distribute(vec![entry]);
         Confirmed { service: service.to_string(), version }
     }
 }
