--- a/crates/gullspar_direct/src/session/caller_opening.rs
+++ b/crates/gullspar_direct/src/session/caller_opening.rs
@@ -1,4 +1,4 @@
-//! The opening of a caller's session: which service it wants, and which instance serves it.
+//! Opens a caller's session: checks the service and the key, and chooses the instance that serves it.
 
 use std::rc::Rc;
 
@@ -13,12 +13,12 @@
 use crate::session::relay::{self, Relay};
 use crate::{ForwardedSession, Member, Proxy, Route};
 
-/// Serves one caller until it leaves or the instance ends.
+/// Serves one caller until it disconnects or the instance shuts down.
 pub async fn serve_caller(proxy: Rc<Proxy>, link: Box<dyn CallerLink>) {
     serve(proxy, link, None).await;
 }
 
-/// Serves a caller that another instance has handed on, here and nowhere else.
+/// Serves a caller whose session another instance has forwarded; it is not forwarded again.
 pub async fn serve_relayed_caller(
     proxy: Rc<Proxy>,
     link: Box<dyn CallerLink>,
@@ -30,12 +30,12 @@
 async fn serve(proxy: Rc<Proxy>, link: Box<dyn CallerLink>, forwarded: Option<ForwardedSession>) {
     proxy.shutdown.session_opened();
     if let Err(err) = open(&proxy, link, forwarded).await {
-        log::debug!(reason = err.to_string().as_str(); "G0728 a caller's session broke off");
+        log::debug!(reason = err.to_string().as_str(); "G0728 a caller's session ended with an error");
     }
     proxy.shutdown.session_closed();
 }
 
-/// Reads which service the caller wants, and serves it here or hands it on.
+/// Reads the opening message, then serves the session here or forwards it.
 async fn open(
     proxy: &Rc<Proxy>,
     mut link: Box<dyn CallerLink>,
@@ -46,39 +46,46 @@
     let failure = match opening {
         Some(CallerMessage::Open { service, key }) => {
             let opening = Opening { service, key };
-            match agree(proxy, &opening, forwarded.as_ref()).await {
-                Ok(Agreed { route, customer }) => {
+            match admit(proxy, &opening, forwarded.as_ref()).await {
+                Ok(Admitted { route, customer }) => {
                     return serve_opened(proxy, link, opening, route, customer, forwarded).await;
                 }
                 Err(answer) => return link.reply(&answer).await,
             }
         }
-        Some(_) => Failure::new(FailureCode::Malformed, "a session begins by opening a service"),
+        Some(_) => Failure::new(
+            FailureCode::Malformed,
+            "the first message of a session must open a service",
+        ),
         None => {
-            log::debug!("G0729 a caller did not open a session");
+            log::debug!("G0729 a caller disconnected without opening a session");
             return Ok(());
         }
     };
     link.reply(&Answer::failed(failure, TransactionStatus::Idle)).await
 }
 
-/// Whose session it is, and how it is served.
-struct Agreed {
+/// The route and the customer of an admitted session.
+struct Admitted {
     route: Route,
     customer: Option<CustomerName>,
 }
 
-/// Decides whether the caller may open the session; gives the answer to it if not.
-async fn agree(
+/// Checks whether the caller may open the session.
+///
+/// # Errors
+///
+/// Fails with the answer that refuses the session.
+async fn admit(
     proxy: &Rc<Proxy>,
     opening: &Opening,
     forwarded: Option<&ForwardedSession>,
-) -> Result<Agreed, Answer> {
+) -> Result<Admitted, Answer> {
     let refused = |failure| Answer::failed(failure, TransactionStatus::Idle);
     if let Some(sender) = forwarded
-        && !proxy.catches_up(opening, sender).await
+        && !proxy.wait_until_caught_up(opening, sender).await
     {
-        // Whoever handed it on tries another one.
+        // The instance that forwarded the session tries another home.
         return Err(relay::no_home());
     }
     let Some(catalogue) = proxy.directory.catalogue() else {
@@ -86,7 +93,7 @@
     };
     let service = &opening.service;
     let Some(route) = catalogue.routes.get(service).cloned() else {
-        log::info!(service = service.as_str(), version = catalogue.version; "G0730 a caller asked for a service that is not there");
+        log::info!(service = service.as_str(), version = catalogue.version; "G0730 a caller asked for an unknown service");
         return Err(refused(no_such_service(service)));
     };
     let Ok(customer) = catalogue.identify(&route, opening.key.as_ref()) else {
@@ -95,13 +102,13 @@
         return Err(refused(refusal::unknown_key()));
     };
     if let Some(reason) = proxy.session_refusal(&route, forwarded.is_some()) {
-        log::info!(service = service.as_str(), reason = reason.text(); "G0764 a session is refused at its opening");
+        log::info!(service = service.as_str(), reason = reason.text(); "G0764 a session was refused when it was opened");
         return Err(refused(refusal::not_run(reason)));
     }
-    Ok(Agreed { route, customer })
+    Ok(Admitted { route, customer })
 }
 
-/// Serves the session here, or hands it on.
+/// Serves the session here or forwards it.
 async fn serve_opened(
     proxy: &Rc<Proxy>,
     mut link: Box<dyn CallerLink>,
@@ -116,11 +123,11 @@
         if ways.is_some() {
             return link.reply(&relay::no_home()).await;
         }
-        return Session::serve_to_end(proxy, link, opening, customer).await;
+        return Session::serve_session(proxy, link, opening, customer).await;
     }
     match proxy.other_homes(&route.group).or(ways) {
         Some(homes) => forward(proxy, link, opening, route.group, &homes).await,
-        None => Session::serve_to_end(proxy, link, opening, customer).await,
+        None => Session::serve_session(proxy, link, opening, customer).await,
     }
 }
 
--- a/crates/gullspar_direct/src/session/caller_session.rs
+++ b/crates/gullspar_direct/src/session/caller_session.rs
@@ -1,4 +1,4 @@
-//! One caller's session.
+//! A caller's session that this instance serves.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -19,35 +19,35 @@
 use crate::writing::transaction::Transaction;
 use crate::{Phase, Proxy, Route, SessionValues};
 
-/// A read may be silent for this part of the callers' objective before a second target is asked.
+/// A read is sent to a second target after this fraction of the service's latency objective.
 const HEDGE_DELAY_DIVISOR: u64 = 2;
 
-/// The least hedge_delay, so that a short objective does not double the load: several times the usual work.
+/// Lower limit of the hedge delay, so that a short objective does not double the load.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(60);
 
-/// A session that is served here.
+/// The state of one session.
 pub(crate) struct Session {
     proxy: Rc<Proxy>,
     link: Box<dyn CallerLink>,
     opening: Opening,
-    /// Whose session it is, as of the statement before.
+    /// The customer found by the last check of the key.
     customer: Option<CustomerName>,
     values: SessionValues,
     own_commit: Option<LogPoint>,
     transaction: Option<Transaction>,
-    /// The route by which the open transaction began.
+    /// The route with which the open transaction began.
     route: Option<Route>,
-    /// When the open transaction has stood still for too long.
+    /// When the open transaction is rolled back unless a statement arrives.
     idle_deadline: Option<Instant>,
-    /// How the statement before was served.
+    /// How the current or last statement was served.
     trace: Trace,
-    /// What the statement before did to data, if it was for a target.
-    ran: Option<Access>,
-    /// The other side knows that the session is to end, and ends it.
+    /// The access of the current statement, if it was for a target.
+    target_access: Option<Access>,
+    /// The other side was asked to end the session, and will end it.
     end_requested: bool,
 }
 
-/// What a session waits for.
+/// An event that a session waits for.
 enum Event {
     Message(CallerMessage),
     Gone,
@@ -56,12 +56,12 @@
 }
 
 pub(crate) fn no_such_service(service: &ServiceName) -> Failure {
-    Failure::new(FailureCode::NoSuchService, format!("there is no service {service}"))
+    Failure::new(FailureCode::NoSuchService, format!("service {service} does not exist"))
 }
 
 impl Session {
-    /// Serves a caller that has named its service, until it leaves or the instance ends.
-    pub(crate) async fn serve_to_end(
+    /// Serves an admitted session until the caller disconnects or the instance shuts down.
+    pub(crate) async fn serve_session(
         proxy: &Rc<Proxy>,
         mut link: Box<dyn CallerLink>,
         opening: Opening,
@@ -79,14 +79,14 @@
             route: None,
             idle_deadline: None,
             trace: Trace::default(),
-            ran: None,
+            target_access: None,
             end_requested: false,
         };
         let served = session.serve().await;
         if let Err(err) = &served {
-            session.explain(err).await;
+            session.send_error(err).await;
         }
-        session.abandon();
+        session.abort_transaction();
         served
     }
 
@@ -95,7 +95,7 @@
             match self.next_event().await? {
                 Event::Message(CallerMessage::Statement(statement)) => {
                     if let Err(failure) = self.identify() {
-                        self.abandon();
+                        self.abort_transaction();
                         let answer = Answer::failed(failure, TransactionStatus::Idle);
                         return self.link.reply(&answer).await;
                     }
@@ -107,7 +107,7 @@
                     self.link.reply(&answer).await?;
                 }
                 Event::Message(CallerMessage::Open { .. }) => {
-                    let answer = self.malformed(&"-".into(), "the session is open already");
+                    let answer = self.malformed(&"-".into(), "the session is already open");
                     self.link.reply(&answer).await?;
                 }
                 Event::Message(CallerMessage::Close) | Event::Gone => return Ok(()),
@@ -117,7 +117,7 @@
                     }
                     self.end_requested = true;
                 }
-                Event::TransactionIdle => self.give_up_idle(),
+                Event::TransactionIdle => self.roll_back_idle(),
             }
         }
     }
@@ -125,7 +125,7 @@
     async fn next_event(&mut self) -> Result<Event, CallerLinkError> {
         loop {
             let changed = self.proxy.shutdown.listen();
-            if self.ends_now() {
+            if self.should_end_now() {
                 return Ok(Event::Shutdown);
             }
             let clock = Rc::clone(&self.proxy.borders.clock);
@@ -146,18 +146,19 @@
         }
     }
 
-    /// Whether the instance's end closes this session now; never with a request half way here.
-    fn ends_now(&self) -> bool {
+    /// Whether shutdown, a partition or a move of the group's home closes this session now; never while a request waits
+    /// to be read.
+    fn should_end_now(&self) -> bool {
         let shutdown = &self.proxy.shutdown;
-        let due = match self.transaction {
-            None => shutdown.should_close_idle() || self.is_misplaced(),
+        let is_due = match self.transaction {
+            None => shutdown.should_close_idle() || self.should_be_served_elsewhere(),
             Some(_) => shutdown.phase() >= Phase::ClosingAll,
         };
-        due && !self.end_requested && self.link.is_quiet()
+        is_due && !self.end_requested && self.link.is_quiet()
     }
 
-    /// Whether another instance should serve this session by now.
-    fn is_misplaced(&self) -> bool {
+    /// Whether this session should be served by another instance.
+    fn should_be_served_elsewhere(&self) -> bool {
         let route = self.proxy.directory.route(&self.opening.service);
         route.is_some_and(|it| {
             self.proxy.gives_up(&it.group) || self.proxy.ways_around(&it.group).is_some()
@@ -169,12 +170,12 @@
     }
 
     fn malformed(&self, id: &RequestId, reason: &str) -> Answer {
-        log::info!(request = id.as_str(), reason = reason; "G0731 a statement makes no sense");
+        log::info!(request = id.as_str(), reason = reason; "G0731 a statement is malformed");
         Answer::failed(Failure::new(FailureCode::Malformed, reason), self.status())
     }
 
-    /// A transaction stood still for too long; its connection goes to others.
-    fn give_up_idle(&mut self) {
+    /// Rolls back a transaction that was idle for too long, which frees its connection.
+    fn roll_back_idle(&mut self) {
         self.idle_deadline = None;
         if let Some(transaction) = &mut self.transaction {
             log::info!(service = self.opening.service.as_str(); "G0732 an idle transaction is rolled back");
@@ -182,28 +183,32 @@
         }
     }
 
-    /// Tells a caller why its session ends, as far as it still listens.
-    async fn explain(&mut self, err: &CallerLinkError) {
+    /// Sends a caller the reason why its session ends, if the connection still works.
+    async fn send_error(&mut self, err: &CallerLinkError) {
         if let CallerLinkError::Unreadable(reason) = err {
             let failure = Failure::new(FailureCode::TooLarge, *reason);
-            // It ends either way.
+            // The session ends whether or not the reply arrives.
             let _ = self.link.reply(&Answer::failed(failure, self.status())).await;
         }
     }
 
-    fn abandon(&mut self) {
+    fn abort_transaction(&mut self) {
         if let Some(mut transaction) = self.transaction.take() {
             transaction.roll_back();
         }
     }
 
-    /// Looks anew whose session it is; an error if its key is no longer valid.
+    /// Checks the key again and updates the customer.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the key is no longer valid or now belongs to another customer during a transaction.
     fn identify(&mut self) -> Result<(), Failure> {
-        // A service that is gone is the statement's to report.
+        // Executing the statement reports a service that no longer exists.
         let Some(route) = self.proxy.directory.route(&self.opening.service) else { return Ok(()) };
         let customer = self.proxy.identify(&route, &self.opening)?;
         if self.customer != customer && self.transaction.is_some() {
-            // What was begun for one customer can't be ended for another.
+            // A transaction belongs to the customer that began it.
             return Err(refusal::unknown_key());
         }
         self.customer = customer;
@@ -215,15 +220,15 @@
         self.idle_deadline = None;
         let id = statement.id.clone();
         let action = statement.action.name();
-        let answer = self.carry_out(statement).await;
+        let answer = self.execute(statement).await;
         if self.transaction.is_some() {
             let catalogue = self.proxy.directory.catalogue();
-            let idle = catalogue.map_or(0, |it| it.transaction_idle_ms);
+            let idle_ms = catalogue.map_or(0, |it| it.transaction_idle_ms);
             let now = self.proxy.borders.clock.now();
-            self.idle_deadline = (idle > 0).then(|| now + Duration::from_millis(idle));
+            self.idle_deadline = (idle_ms > 0).then(|| now + Duration::from_millis(idle_ms));
         }
         let took = self.proxy.borders.clock.now().saturating_duration_since(started);
-        if let Some(access) = self.ran.take() {
+        if let Some(access) = self.target_access.take() {
             let result = answer.result.as_ref().map(|_| ());
             self.proxy.borders.stats.statement(access, &self.trace, result, took);
         }
@@ -239,13 +244,13 @@
         answer
     }
 
-    async fn carry_out(&mut self, statement: Statement) -> Answer {
-        let failed = self.status() == TransactionStatus::Failed;
+    async fn execute(&mut self, statement: Statement) -> Answer {
+        let has_failed = self.status() == TransactionStatus::Failed;
         match &statement.action {
             Action::RollBack => self.roll_back(&statement.id),
             Action::Commit => self.commit(&statement).await,
-            _ if failed => {
-                self.malformed(&statement.id, "the transaction has failed; roll it back")
+            _ if has_failed => {
+                self.malformed(&statement.id, "the transaction has failed and must be rolled back")
             }
             Action::Begin { read_only } => self.begin(&statement.id, *read_only),
             Action::Set { name, value } => {
@@ -275,13 +280,14 @@
     }
 
     fn no_such_prepared(&self) -> Answer {
-        let failure = Failure::new(FailureCode::NoSuchPrepared, "nothing is prepared by that name");
+        let failure =
+            Failure::new(FailureCode::NoSuchPrepared, "no statement is prepared under this name");
         Answer::failed(failure, self.status())
     }
 
     fn begin(&mut self, id: &RequestId, read_only: bool) -> Answer {
         if self.transaction.is_some() {
-            return self.malformed(id, "a transaction is open already");
+            return self.malformed(id, "a transaction is already open");
         }
         let Some(route) = self.proxy.directory.route(&self.opening.service) else {
             return Answer::failed(no_such_service(&self.opening.service), TransactionStatus::Idle);
@@ -306,7 +312,7 @@
         if self.transaction.is_some()
             && let Err(reason) = self.charge().await
         {
-            self.abandon();
+            self.abort_transaction();
             return Answer::failed(refusal::not_run(reason), TransactionStatus::Idle);
         }
         let Some(transaction) = self.transaction.take() else {
@@ -315,18 +321,18 @@
         let Some(route) = self.route.take() else {
             return self.malformed(&statement.id, "no transaction is open");
         };
-        self.ran = Some(Access::Write);
+        self.target_access = Some(Access::Write);
         self.trace = transaction.trace.clone();
         let req = self.request(statement, Access::Read, None, &route);
         let group = transaction.group();
-        let ended = transaction.commit(&self.proxy, &req).await;
-        if !ended.wrote {
-            return ended.answer;
+        let commit = transaction.commit(&self.proxy, &req).await;
+        if !commit.wrote {
+            return commit.answer;
         }
-        self.acknowledge(&group, ended.answer, req.deadline).await
+        self.acknowledge(&group, commit.answer, req.deadline).await
     }
 
-    /// Lets the success of a write through once it would survive its leader.
+    /// Holds back the success of a write until the commit would survive the loss of its leader.
     async fn acknowledge(
         &mut self,
         group: &Rc<Group>,
@@ -342,14 +348,19 @@
                 answer
             }
             Standing::Superseded => {
-                let failure = refusal::unknown("the leader was superseded meanwhile");
+                let failure =
+                    refusal::unknown("the leader was superseded before the commit was confirmed");
                 Answer::failed(failure, TransactionStatus::Idle)
             }
         }
     }
 
-    /// Counts an operation against its customer's limit before anything of it runs: a single statement, or a transaction
-    /// at its first one.
+    /// Counts an operation against its customer's limit before it runs. A transaction counts as one operation, at its
+    /// first statement.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the reason if the customer is at its limit.
     async fn charge(&mut self) -> Result<(), NotRun> {
         let Some(customer) = self.customer.clone() else { return Ok(()) };
         if self.transaction.as_ref().is_some_and(|it| it.charged) {
@@ -380,7 +391,7 @@
         access: Access,
         prepared: Option<(Definition, arcstr::ArcStr)>,
     ) -> Answer {
-        self.ran = Some(access);
+        self.target_access = Some(access);
         if let Err(reason) = self.charge().await {
             return self.over_limit(reason);
         }
--- a/crates/gullspar_direct/src/session/forwarded_session.rs
+++ b/crates/gullspar_direct/src/session/forwarded_session.rs
@@ -1,4 +1,4 @@
-//! What goes with a session that one instance hands on to another.
+//! What an instance sends along with a session that it forwards, and how the receiver checks it.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use crate::Proxy;
 use crate::session::opening::Opening;
 
-/// How long a home that is behind waits for the configuration of whoever handed a session on: a heartbeat and a fetch
-/// take 250 ms. The other one waits 400 ms before it tries the next home.
-const CATCH_UP_WITHIN: Duration = Duration::from_millis(300);
+/// How long a home with an older configuration waits for the one that the sender has. It must be shorter than the
+/// sender's timeout, after which the sender tries the next home.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
 
 record! {
-    /// What the instance that hands a session on goes by.
+    /// The configuration by which an instance forwarded a session.
     pub struct ForwardedSession {
         pub catalogue_version: u64,
         /// The group that serves the session there.
@@ -22,29 +22,34 @@
 }
 
 impl Proxy {
-    fn agrees(&self, opening: &Opening, sender: &ForwardedSession) -> bool {
+    /// Whether this instance can admit the session, or has a configuration that is at least as new as the sender's.
+    fn is_up_to_date_for(&self, opening: &Opening, sender: &ForwardedSession) -> bool {
         let Some(catalogue) = self.directory.catalogue() else { return false };
         let route = catalogue.routes.get(&opening.service);
-        let admits = route.is_some_and(|it| {
+        let can_admit = route.is_some_and(|it| {
             it.group == sender.group && catalogue.identify(it, opening.key.as_ref()).is_ok()
         });
-        admits || catalogue.version >= sender.catalogue_version
+        can_admit || catalogue.version >= sender.catalogue_version
     }
 
-    /// Whether this instance goes by as new a configuration as `sender` does for a session; waits a little for it.
+    /// Waits briefly until this instance's configuration is as new as the sender's; `false` if it isn't in time.
     ///
-    /// A home that is back from a suspension or a cut goes by an old one for a moment. Its word is passed on by an
-    /// instance that knows better: seen as a caller that was refused a service 6 s after it was added.
-    pub(crate) async fn catches_up(&self, opening: &Opening, sender: &ForwardedSession) -> bool {
+    /// A home that returns from a suspension or a partition has an old configuration for a moment. It must not refuse a
+    /// service that the sender already knows.
+    pub(crate) async fn wait_until_caught_up(
+        &self,
+        opening: &Opening,
+        sender: &ForwardedSession,
+    ) -> bool {
         let clock = &self.borders.clock;
-        let deadline = clock.now() + CATCH_UP_WITHIN;
+        let deadline = clock.now() + CATCH_UP_TIMEOUT;
         loop {
             let changed = self.directory.listen();
-            if self.agrees(opening, sender) {
+            if self.is_up_to_date_for(opening, sender) {
                 return true;
             }
             if within(&**clock, deadline, changed).await.is_err() {
-                log::info!(service = opening.service.as_str(), version = self.directory.version(), wanted = sender.catalogue_version; "G0762 a session is not taken: its sender has a newer configuration");
+                log::info!(service = opening.service.as_str(), version = self.directory.version(), wanted = sender.catalogue_version; "G0762 a forwarded session is refused: its sender has a newer configuration");
                 return false;
             }
         }
--- a/crates/gullspar_direct/src/session/mod.rs
+++ b/crates/gullspar_direct/src/session/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' sessions: how they open, where they are served, and how they end.
+//! Callers' sessions: opening, serving, forwarding to other instances, and closing.
 
 pub(crate) mod caller_opening;
 pub(crate) mod caller_session;
--- a/crates/gullspar_direct/src/session/opening.rs
+++ b/crates/gullspar_direct/src/session/opening.rs
@@ -1,4 +1,4 @@
-//! What a caller opened its session with.
+//! The service and the key with which a caller opened its session.
 
 use gullspar_customer::KeyFingerprint;
 use gullspar_model::{CustomerName, ServiceName};
@@ -7,7 +7,7 @@
 use crate::session::refusal;
 use crate::{Proxy, Route};
 
-/// The service that a caller named, and its key.
+/// The content of a caller's opening message.
 #[derive(Clone, Debug)]
 pub(crate) struct Opening {
     pub(crate) service: ServiceName,
@@ -15,14 +15,18 @@
 }
 
 impl Opening {
-    /// The message that opens the same session elsewhere.
+    /// The message that opens the same session at another instance.
     pub(crate) fn message(&self) -> CallerMessage {
         CallerMessage::Open { service: self.service.clone(), key: self.key }
     }
 }
 
 impl Proxy {
-    /// The customer that the session belongs to by the configuration in force, which may have taken its key away.
+    /// The customer that the session belongs to according to the configuration in force.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the configuration no longer contains the session's key.
     pub(crate) fn identify(
         &self,
         route: &Route,
--- a/crates/gullspar_direct/src/session/relay.rs
+++ b/crates/gullspar_direct/src/session/relay.rs
@@ -1,4 +1,4 @@
-//! Handing a caller's session on to an instance that holds connections to its group.
+//! Forwards a caller's session to a home, an instance that holds connections to its group.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,15 +14,15 @@
 use crate::session::refusal;
 use crate::{ForwardedSession, Member, Phase, Proxy};
 
-/// How long opening a session at a home may take before the next one is tried: a few milliseconds, and
-/// more after a power loss, when all sessions open anew.
-const OPEN_WITHIN: Duration = Duration::from_millis(400);
+/// How long opening a session at a home may take before the next home is tried. It leaves room for the load after an
+/// outage, when all sessions are opened again.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
 
 record! {
     /// What the instance that a caller is connected to sends to the home.
     pub enum RelayMessage {
         Caller(CallerMessage),
-        /// Nothing more follows, as the home has asked.
+        /// No message follows, as the home requested with [`RelayReply::Ending`].
         Ended,
     }
 }
@@ -31,15 +31,14 @@
     /// What the home sends back.
     pub enum RelayReply {
         Answer(Answer),
-        /// The home wants to end the session; whatever was sent before is answered still.
+        /// The home wants to end the session; it still answers what was sent before.
         ///
-        /// Closed without it, a request on its way between the two instances would be lost though one of
-        /// them had read it.
+        /// Without this message, closing the session could lose a request that is on its way between the two instances.
         Ending,
     }
 }
 
-/// The way to a home, for one session.
+/// A connection to a home, for one session.
 pub trait HomeLink {
     /// Sends one message.
     fn send<'a>(
@@ -47,17 +46,17 @@
         message: &'a RelayMessage,
     ) -> LocalBoxFuture<'a, Result<(), PeerError>>;
 
-    /// The next reply; `None` when the home has gone. A call that is dropped loses nothing.
+    /// The next reply; `None` when the home has closed the connection. Cancel-safe.
     fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<RelayReply>, PeerError>>;
 }
 
-/// A home and the way to it.
+/// A home and the connection to it.
 pub(crate) struct Home {
     id: InstanceId,
     link: Box<dyn HomeLink>,
 }
 
-/// Opens a session at the first of `homes` that takes it; gives the answer to the opening as well.
+/// Opens a session at the first of `homes` that accepts it; returns the answer to the opening as well.
 pub(crate) async fn open(
     proxy: &Proxy,
     homes: &[Member],
@@ -66,19 +65,19 @@
 ) -> Option<(Answer, Home)> {
     let clock = &proxy.borders.clock;
     for home in homes {
-        let deadline = clock.now() + OPEN_WITHIN;
+        let deadline = clock.now() + OPEN_TIMEOUT;
         let opened =
             within(&**clock, deadline, open_at(proxy, home, opening, forwarded, deadline)).await;
         let reason = match opened {
-            Ok(Ok((answer, link))) if !refuses(&answer) => {
+            Ok(Ok((answer, link))) if !is_refusal(&answer) => {
                 return Some((answer, Home { id: home.id.clone(), link }));
             }
-            Ok(Ok(_)) => "it can't serve the group either".to_owned(),
+            Ok(Ok(_)) => "it can't serve the group".to_owned(),
             Ok(Err(PeerError::NoAnswer(reason))) => reason,
             Err(DeadlinePassed) => "the deadline passed".to_owned(),
         };
         proxy.avoid_home(&home.id);
-        log::info!(home = home.id.as_str(), reason = reason.as_str(); "G0746 a home could not be reached");
+        log::info!(home = home.id.as_str(), reason = reason.as_str(); "G0746 a session could not be opened at a home");
     }
     None
 }
@@ -95,28 +94,31 @@
     link.send(&RelayMessage::Caller(opening.message())).await?;
     match link.next().await? {
         Some(RelayReply::Answer(answer)) => Ok((answer, link)),
-        Some(RelayReply::Ending) | None => Err(PeerError::NoAnswer("it ends".to_owned())),
+        Some(RelayReply::Ending) | None => {
+            Err(PeerError::NoAnswer("it ended the session".to_owned()))
+        }
     }
 }
 
-/// Whether another home may take the session that this one did not.
-fn refuses(answer: &Answer) -> bool {
+/// Whether the home refused the session in a way that lets another home accept it.
+fn is_refusal(answer: &Answer) -> bool {
     answer.result.as_ref().is_err_and(|it| it.code == FailureCode::Congested)
 }
 
-/// A session that runs elsewhere.
+/// A session that another instance serves.
 pub(crate) struct Relay {
     pub(crate) proxy: Rc<Proxy>,
     pub(crate) caller: Box<dyn CallerLink>,
     opening: Opening,
     home: Home,
-    /// Messages that are not answered yet.
+    /// Messages that are not yet answered.
     unanswered: usize,
     status: TransactionStatus,
+    /// The home asked to end the session.
     ending: bool,
 }
 
-/// What a relay waits for.
+/// An event that a relay waits for.
 enum Event {
     Caller(Result<Option<CallerMessage>, CallerLinkError>),
     Home(Result<Option<RelayReply>, PeerError>),
@@ -134,10 +136,10 @@
         Relay { proxy, caller, opening, home, unanswered: 0, status, ending: false }
     }
 
-    /// Passes messages on until either side ends.
+    /// Forwards messages and answers until either side ends the session.
     pub(crate) async fn run(mut self) -> Result<(), CallerLinkError> {
         loop {
-            if self.may_end() {
+            if self.can_end() {
                 return Ok(());
             }
             match self.next_event().await {
@@ -145,7 +147,7 @@
                 Event::Caller(message) => match message? {
                     None | Some(CallerMessage::Close) => return Ok(()),
                     Some(message) => {
-                        if !self.pass_on(message).await? {
+                        if !self.forward(message).await? {
                             return Ok(());
                         }
                     }
@@ -158,22 +160,22 @@
                 Event::Home(Ok(Some(RelayReply::Ending))) => {
                     self.ending = true;
                     if self.home.link.send(&RelayMessage::Ended).await.is_err() {
-                        return self.home_is_gone().await;
+                        return self.handle_home_loss().await;
                     }
                 }
-                Event::Home(_) => return self.home_is_gone().await,
+                Event::Home(_) => return self.handle_home_loss().await,
             }
         }
     }
 
-    /// Whether nothing is under way and one of the two instances ends.
-    fn may_end(&self) -> bool {
+    /// Whether no request is in progress and one of the two instances wants to end the session.
+    fn can_end(&self) -> bool {
         let shutdown = &self.proxy.shutdown;
-        let due = match self.status {
+        let is_due = match self.status {
             TransactionStatus::Idle => self.ending || shutdown.should_close_idle(),
             _ => self.ending || shutdown.phase() >= Phase::ClosingAll,
         };
-        due && self.unanswered == 0 && (self.ending || self.caller.is_quiet())
+        is_due && self.unanswered == 0 && (self.ending || self.caller.is_quiet())
     }
 
     async fn next_event(&mut self) -> Event {
@@ -181,7 +183,7 @@
         let ending = self.ending;
         let caller = async {
             if ending {
-                // The home takes nothing more.
+                // The home accepts no more messages.
                 future::pending().await
             } else {
                 self.caller.next().await
@@ -196,46 +198,51 @@
         }
     }
 
-    /// Whether the session may go on by what this instance knows; the home may not have heard of it yet.
-    fn admits(&self) -> Result<(), Failure> {
+    /// Checks that the session's key is still valid here; the home may have an older configuration.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the key is no longer valid.
+    fn check_key(&self) -> Result<(), Failure> {
         match self.proxy.directory.route(&self.opening.service) {
             Some(route) => self.proxy.identify(&route, &self.opening).map(|_| ()),
-            // The home answers for a service that is gone.
+            // The home reports a service that no longer exists.
             None => Ok(()),
         }
     }
 
-    /// Sends a message on; `false` if the home has gone or the session ends, and the caller has been told.
-    async fn pass_on(&mut self, message: CallerMessage) -> Result<bool, CallerLinkError> {
+    /// Forwards a message to the home; `false` if the session ends, after the caller was answered.
+    async fn forward(&mut self, message: CallerMessage) -> Result<bool, CallerLinkError> {
         if self.unanswered == 0
-            && let Err(failure) = self.admits()
+            && let Err(failure) = self.check_key()
         {
-            // Without its session, the home rolls back what is open there.
+            // Closing the session makes the home roll back an open transaction.
             let answer = Answer::failed(failure, TransactionStatus::Idle);
             self.caller.reply(&answer).await?;
             return Ok(false);
         }
         self.unanswered += 1;
         if self.home.link.send(&RelayMessage::Caller(message)).await.is_err() {
-            self.home_is_gone().await?;
+            self.handle_home_loss().await?;
             return Ok(false);
         }
         Ok(true)
     }
 
-    /// Answers what is under way, truthfully: it may have run.
-    async fn home_is_gone(&mut self) -> Result<(), CallerLinkError> {
-        log::info!(home = self.home.id.as_str(), unanswered = self.unanswered; "G0747 the home of a session is gone");
+    /// Reports that the outcome of an unanswered request is unknown, because the home may have run it.
+    async fn handle_home_loss(&mut self) -> Result<(), CallerLinkError> {
+        log::info!(home = self.home.id.as_str(), unanswered = self.unanswered; "G0747 the connection to a session's home was lost");
         self.proxy.avoid_home(&self.home.id);
         if self.unanswered > 0 {
-            let failure = refusal::unknown("the instance that served the session is gone");
+            let failure =
+                refusal::unknown("the connection to the instance that served the session was lost");
             self.caller.reply(&Answer::failed(failure, TransactionStatus::Idle)).await?;
         }
         Ok(())
     }
 }
 
-/// The answer where no home can be reached.
+/// The answer when no home can be reached.
 pub(crate) fn no_home() -> Answer {
     Answer::failed(refusal::not_run(NotRun::Unreachable), TransactionStatus::Idle)
 }
--- a/crates/gullspar_direct/src/session/request.rs
+++ b/crates/gullspar_direct/src/session/request.rs
@@ -1,4 +1,4 @@
-//! A statement on its way to a target.
+//! A caller's statement, prepared for routing.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,48 +11,49 @@
 use crate::Freshness;
 use crate::targets::pooled_connection::PooledConnection;
 
-/// What the target is to run.
+/// The statement's text, or a prepared statement with its arguments.
 #[derive(Clone, Debug)]
 pub(crate) enum Body {
     Text(ArcStr),
     Prepared { definition: Definition, arguments: ArcStr },
 }
 
-/// A caller's statement with all that routing needs.
+/// A caller's statement with everything that routing needs.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) id: RequestId,
     pub(crate) body: Body,
     pub(crate) access: Access,
-    /// It commits a transaction.
+    /// Whether it commits a transaction.
     pub(crate) commits: bool,
-    /// Whose statement it is.
+    /// The customer that the statement is for.
     pub(crate) customer: Option<CustomerName>,
     /// The session's values, shared with it.
     pub(crate) values: Rc<BTreeMap<ArcStr, ArcStr>>,
     pub(crate) freshness: Freshness,
-    /// The newest commit of the session itself.
+    /// The position of the session's newest own commit.
     pub(crate) own_commit: Option<LogPoint>,
     pub(crate) deadline: Instant,
-    /// When the caller wants its answer.
+    /// When the service's latency objective requires an answer.
     pub(crate) objective: Instant,
-    /// How long a target may be silent before a read is tried on another one as well.
+    /// How long to wait for a target's answer before a read is sent to another target as well.
     pub(crate) hedge_delay: Duration,
+    /// 0 is served first.
     pub(crate) priority: u8,
 }
 
 impl Request {
-    /// The commands that run it on `connection`.
+    /// The commands that run the statement on `connection`, including those that set its values and prepare it.
     pub(crate) fn commands(
         &self,
         connection: &mut PooledConnection,
         at_least: Option<LogPoint>,
     ) -> Vec<TargetCommand> {
-        let wanted = match &self.body {
+        let needed = match &self.body {
             Body::Text(_) => None,
             Body::Prepared { definition, .. } => Some(definition),
         };
-        let mut commands = connection.prepare_for(&self.values, wanted);
+        let mut commands = connection.prepare_for(&self.values, needed);
         commands.push(self.run(connection, at_least));
         commands
     }
@@ -63,7 +64,7 @@
             Body::Text(text) => TargetCommand::Run { id, text: text.clone(), at_least },
             Body::Prepared { definition, arguments } => TargetCommand::Execute {
                 id,
-                // It was prepared by the commands before, so it has a name.
+                // The preceding commands prepared it, so it has a name.
                 name: connection.prepared_name(definition).unwrap_or_default(),
                 arguments: arguments.clone(),
                 at_least,
--- a/crates/gullspar_direct/src/session/session_values.rs
+++ b/crates/gullspar_direct/src/session/session_values.rs
@@ -1,11 +1,11 @@
-//! What a session has set and prepared.
+//! A session's values and prepared statements.
 
 use std::collections::BTreeMap;
 
 use arcstr::ArcStr;
 use gullspar_statement::Definition;
 
-/// The state of one caller's session that its statements depend on.
+/// The state of a caller's session that its statements depend on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionValues {
     pub values: BTreeMap<ArcStr, ArcStr>,
--- a/crates/gullspar_direct/src/session/shutdown.rs
+++ b/crates/gullspar_direct/src/session/shutdown.rs
@@ -1,14 +1,14 @@
-//! The steps of ending an instance without cutting off a request.
+//! The phases of a shutdown that interrupts no request.
 
 use std::cell::Cell;
 
 use event_listener::{Event, EventListener};
 
-/// How far the end of the instance has come.
+/// The phase of the instance's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     Serving,
-    /// No new callers are sent here; those that come are served.
+    /// The instance reports that it is not ready; callers that still connect are served.
     Unready,
     /// Sessions without a transaction are closed between statements.
     ClosingIdle,
@@ -26,7 +26,7 @@
     OutOfRotation,
 }
 
-/// The phase, and news of it.
+/// The shutdown phase and the partition state, with notification of their changes.
 pub struct Shutdown {
     partition_state: Cell<PartitionState>,
     phase: Cell<Phase>,
@@ -46,12 +46,12 @@
 }
 
 impl Shutdown {
-    /// How far it is.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Goes on to `phase`.
+    /// Enters `phase` and notifies all sessions.
     pub fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.changed.notify(usize::MAX);
@@ -68,23 +68,23 @@
         }
     }
 
-    /// Has all sessions look whether they should end.
+    /// Makes all sessions check whether they should end.
     pub(crate) fn notify(&self) {
         self.changed.notify(usize::MAX);
     }
 
-    /// Whether sessions without a transaction are to connect elsewhere.
+    /// Whether sessions without a transaction should be closed, so that their callers connect to other instances.
     pub(crate) fn should_close_idle(&self) -> bool {
         self.phase.get() >= Phase::ClosingIdle
             || self.partition_state.get() == PartitionState::OutOfRotation
     }
 
-    /// Notified at each step; take it before reading the phase.
+    /// Notified at each change. Call it before reading the phase, so that no change is missed.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// Sessions that are open.
+    /// The number of open sessions.
     pub fn sessions(&self) -> usize {
         self.sessions.get()
     }
@@ -93,7 +93,7 @@
         self.sessions.set(self.sessions.get() + 1);
     }
 
-    /// Wakes nobody: all other sessions would look whether they should end, each time that one does.
+    /// Does not notify: otherwise each session that ends would wake all the others.
     pub(crate) fn session_closed(&self) {
         self.sessions.set(self.sessions.get() - 1);
     }
--- a/crates/gullspar_direct/src/session/trace.rs
+++ b/crates/gullspar_direct/src/session/trace.rs
@@ -1,32 +1,32 @@
-//! What decided how a statement was served, for the log.
+//! Details for the log on how a statement was served.
 
 use gullspar_model::{LogPoint, MemberName};
 
-/// What stands in the log where there is nothing to tell.
+/// Logged in place of an absent value.
 const NONE: &str = "-";
 
-/// Where a statement ran last and what was asked of that target.
+/// The target that a statement was sent to last, and what was required of it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Trace {
-    /// The target asked last.
+    /// The target that the statement was sent to last.
     pub(crate) member: Option<MemberName>,
-    /// Whether that was the group's leader.
+    /// Whether that target was the group's leader.
     pub(crate) on_leader: bool,
-    /// The point that a replica had to have reached.
+    /// The log point that a replica had to have reached.
     pub(crate) at_least: Option<LogPoint>,
-    /// How old the reading behind that point was when it was chosen, in milliseconds.
+    /// Age in milliseconds of the position sample that gave this point, when the target was selected.
     pub(crate) sample_age_ms: Option<u64>,
-    /// Targets asked.
+    /// The number of targets that the statement was sent to.
     pub(crate) tries: u32,
 }
 
 impl Trace {
-    /// The target asked last.
+    /// The name of the target that the statement was sent to last.
     pub(crate) fn member(&self) -> &str {
         self.member.as_ref().map_or(NONE, MemberName::as_str)
     }
 
-    /// What that target was in its group.
+    /// That target's role in its group.
     pub(crate) fn role(&self) -> &'static str {
         match (&self.member, self.on_leader) {
             (None, _) => NONE,
@@ -35,18 +35,18 @@
         }
     }
 
-    /// The point that a replica had to have reached.
+    /// The log point that a replica had to have reached.
     pub(crate) fn at_least(&self) -> String {
         point(self.at_least)
     }
 
-    /// How old the reading behind that point was.
+    /// Age in milliseconds of the position sample that gave this point.
     pub(crate) fn sample_age(&self) -> String {
         self.sample_age_ms.map_or_else(|| NONE.to_owned(), |it| it.to_string())
     }
 }
 
-/// A point as targets write it.
+/// A log point in the notation of targets.
 pub(crate) fn point(point: Option<LogPoint>) -> String {
     point.map_or_else(|| NONE.to_owned(), |it| format!("{}.{}", it.term.0, it.position.0))
 }
