--- a/crates/gullspar_direct/src/borders.rs
+++ b/crates/gullspar_direct/src/borders.rs
@@ -1,4 +1,4 @@
-//! Everything outside, as this package meets it.
+//! Interfaces to everything outside this crate.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,12 +13,12 @@
     Stats,
 };
 
-/// The ways to other instances.
+/// Communication with other instances.
 pub trait PeerChannel {
-    /// Sends a message that may get lost.
+    /// Sends a message without a guarantee of delivery.
     fn send(&self, to: SocketAddr, message: &PeerMessage);
 
-    /// Asks an instance for what it goes by.
+    /// Fetches the newer parts of an instance's configuration and list of targets.
     fn fetch(
         &self,
         from: SocketAddr,
@@ -26,7 +26,7 @@
         deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<Snapshot, PeerError>>;
 
-    /// Opens a session of a caller at the instance at `to`.
+    /// Opens a caller's session at the instance at `to`, and forwards messages over the returned link.
     fn open_session(
         &self,
         to: SocketAddr,
@@ -35,7 +35,7 @@
     ) -> LocalBoxFuture<'static, Result<Box<dyn HomeLink>, PeerError>>;
 }
 
-/// The borders of one instance.
+/// The external dependencies of one instance.
 #[derive(Clone)]
 pub struct Borders {
     pub clock: Rc<dyn Clock>,
--- a/crates/gullspar_direct/src/configuration/catalogue.rs
+++ b/crates/gullspar_direct/src/configuration/catalogue.rs
@@ -1,4 +1,4 @@
-//! The configuration of all services, and the targets that are there.
+//! The configuration of all services, and the list of targets.
 
 use std::collections::BTreeMap;
 
@@ -13,11 +13,11 @@
     pub struct Route {
         pub group: GroupName,
         pub freshness: Freshness,
-        /// Time that one statement may take, in milliseconds.
+        /// Timeout of one statement, in milliseconds.
         pub statement_ms: u64,
-        /// Time within which callers want a whole operation answered, in milliseconds.
+        /// The service's latency objective for a whole operation, in milliseconds.
         pub objective_ms: u64,
-        /// 0 goes first.
+        /// 0 is served first.
         pub priority: u8,
         /// Whether callers must hold the key of a customer.
         pub needs_key: bool,
@@ -25,23 +25,23 @@
 }
 
 record! {
-    /// What each member of a group allows.
+    /// Limits that apply to each member of a group.
     #[derive(Copy)]
     pub struct GroupLimits {
-        /// Connections to one member from all instances together.
+        /// Maximum number of connections to one member, from all instances together.
         pub connections: u32,
     }
 }
 
 record! {
-    /// All services in one version.
+    /// One version of the configuration of all services.
     pub struct Catalogue {
         pub version: u64,
         pub routes: BTreeMap<ServiceName, Route>,
         pub groups: BTreeMap<GroupName, GroupLimits>,
-        /// Milliseconds after which a transaction that stands still is rolled back.
+        /// Time after which an idle transaction is rolled back, in milliseconds; 0 disables the timeout.
         pub transaction_idle_ms: u64,
-        /// `None` where callers have no keys at all.
+        /// `None` if callers have no keys at all.
         pub customers: Option<Customers>,
     }
 }
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the route needs a key and `key` is not that of a customer.
+    /// Fails if the route needs a key and `key` belongs to no customer.
     pub(crate) fn identify(
         &self,
         route: &Route,
@@ -62,20 +62,20 @@
         if holder.is_none() && route.needs_key { Err(UnknownKey) } else { Ok(holder) }
     }
 
-    /// How many operations of `customer` may run; `None` for any number.
+    /// The rate limit of `customer`; `None` if there is none.
     pub(crate) fn limit(&self, customer: &CustomerName) -> Option<RateLimit> {
         self.customers.as_ref()?.limit(customer)
     }
 }
 
-/// No customer holds the key.
+/// The key belongs to no customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UnknownKey;
 
 record! {
     /// The targets that the platform lists.
     pub struct TargetList {
-        /// Grows with each change at the platform.
+        /// Grows with each change in the platform's store.
         pub revision: Revision,
         pub targets: Vec<TargetSpec>,
     }
--- a/crates/gullspar_direct/src/configuration/directory.rs
+++ b/crates/gullspar_direct/src/configuration/directory.rs
@@ -1,4 +1,4 @@
-//! The configuration and the targets that this instance goes by.
+//! The configuration and the targets that this instance uses.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,42 +11,41 @@
 
 use crate::{Catalogue, Route, TargetList};
 
-/// How long a target that vanished from the list is still used.
+/// How long a target is still used after it vanished from the list.
 ///
-/// Entries lapse while the platform's store is away although their targets live; they are back about
-/// two seconds after its return. Dropping them at once would take healthy targets out of service.
-const LAPSE_GRACE: Duration = Duration::from_millis(2500);
+/// Entries expire while the platform's store is unavailable although their targets are alive, and are listed again about
+/// two seconds after its return. Removing them at once would take healthy targets out of service.
+const EXPIRY_GRACE_PERIOD: Duration = Duration::from_millis(2500);
 
-/// How long an entry that is back with an older copy of the store is not believed unless its target writes again; those
-/// that live do so within this time.
-const RESTORED_GRACE: Duration = Duration::from_secs(2);
+/// How long an entry that reappeared with an older copy of the store is not used unless its target writes it again.
+/// Targets that are alive do so within this time.
+const VERIFICATION_PERIOD: Duration = Duration::from_secs(2);
 
-struct Listed {
+struct ListedTarget {
     spec: Rc<TargetSpec>,
-    /// Set when the platform stopped listing it.
-    gone_at: Option<Instant>,
+    /// When it is removed; set when the platform stopped listing it.
+    expires_at: Option<Instant>,
 }
 
-/// What is in force, each part only ever moving forward.
+/// The configuration and the list of targets in force; neither is ever replaced by an older version.
 #[derive(Default)]
 pub struct Directory {
     catalogue: RefCell<Option<Rc<Catalogue>>>,
-    targets: RefCell<BTreeMap<MemberName, Listed>>,
+    targets: RefCell<BTreeMap<MemberName, ListedTarget>>,
     target_revision: RefCell<Option<Revision>>,
-    /// Entries of targets that were not known when the store came back from an older copy, and until when they are
-    /// doubted.
-    doubted: RefCell<BTreeMap<MemberName, TargetSpec>>,
-    doubted_until: Cell<Option<Instant>>,
-    /// What [`Directory::slots`] gives, worked out once a change of the targets.
+    /// Unverified entries: their targets were unknown when the store was restored from an older copy.
+    unverified: RefCell<BTreeMap<MemberName, TargetSpec>>,
+    unverified_until: Cell<Option<Instant>>,
+    /// Cached result of [`Directory::slots`], cleared when the targets change.
     slots: RefCell<Option<BTreeMap<GroupName, u32>>>,
     changed: Event,
 }
 
 impl Directory {
-    /// Puts `catalogue` in force unless the same or a newer one is.
+    /// Puts `catalogue` in force unless the same or a newer version is; returns whether it did.
     ///
-    /// Watches, lists and other instances bring configurations in any order; a late one would put
-    /// removed routes back in force, seen as callers served by the service of yesterday.
+    /// Watches, lists and other instances deliver configurations in any order. Without the comparison, a late one would
+    /// restore removed routes.
     pub fn apply_catalogue(&self, catalogue: Catalogue) -> bool {
         let known = self.catalogue.borrow().as_ref().map(|it| it.version);
         if known.is_some_and(|it| it >= catalogue.version) {
@@ -58,96 +57,100 @@
         true
     }
 
-    /// Takes a list of targets unless a newer one was taken; `now` dates what vanished.
+    /// Applies a list of targets unless a newer one was applied; returns whether it did. Targets that are no longer listed
+    /// expire some time after `now`.
     pub fn apply_targets(&self, list: TargetList, now: Instant) -> bool {
         if self.target_revision.borrow().is_some_and(|it| it > list.revision) {
             return false;
         }
         let before = self.target_revision.borrow_mut().replace(list.revision);
         if before.is_some_and(|it| it.era < list.revision.era) {
-            log::warn!(revision = list.revision.to_string().as_str(); "G0768 the store has come back from an older copy");
-            self.doubted_until.set(Some(now + RESTORED_GRACE));
+            log::warn!(revision = list.revision.to_string().as_str(); "G0768 the store was restored from an older copy");
+            self.unverified_until.set(Some(now + VERIFICATION_PERIOD));
         }
-        let doubts = self.doubted_until.get().is_some_and(|until| now < until);
+        let must_verify = self.unverified_until.get().is_some_and(|until| now < until);
         let mut targets = self.targets.borrow_mut();
-        let mut doubted = self.doubted.borrow_mut();
-        let doubted_before = std::mem::take(&mut *doubted);
-        let mut fresh: BTreeMap<MemberName, Listed> = BTreeMap::new();
+        let mut unverified = self.unverified.borrow_mut();
+        let previously_unverified = std::mem::take(&mut *unverified);
+        let mut current: BTreeMap<MemberName, ListedTarget> = BTreeMap::new();
         let mut outdated = BTreeSet::new();
         for spec in list.targets {
             let known = targets.get(&spec.member);
-            // An entry that somebody else wrote, or its target long ago; what is in force lapses unless
-            // the target says something new of itself.
+            // The entry is outdated. The known one expires unless the target writes a newer one.
             if known.is_some_and(|it| it.spec.is_newer_than(&spec)) {
-                log::warn!(member = spec.member.as_str(), beat = spec.beat; "G0757 an entry of a target is older than what it said before");
+                log::warn!(member = spec.member.as_str(), beat = spec.beat; "G0757 the listed entry of a target is older than the known one");
                 outdated.insert(spec.member);
                 continue;
             }
-            if known.is_none() && doubts {
-                // Of a target that may have left since the copy was made.
-                let first = doubted_before.get(&spec.member);
+            if known.is_none() && must_verify {
+                // The target may have left since the copy was made.
+                let first = previously_unverified.get(&spec.member);
                 if first.is_none_or(|it| !spec.is_newer_than(it)) {
-                    doubted.insert(spec.member.clone(), first.cloned().unwrap_or(spec));
+                    unverified.insert(spec.member.clone(), first.cloned().unwrap_or(spec));
                     continue;
                 }
             }
-            let listed = Listed { spec: Rc::new(spec), gone_at: None };
-            fresh.insert(listed.spec.member.clone(), listed);
+            let listed = ListedTarget { spec: Rc::new(spec), expires_at: None };
+            current.insert(listed.spec.member.clone(), listed);
         }
         for (member, old) in std::mem::take(&mut *targets) {
-            if fresh.contains_key(&member) {
+            if current.contains_key(&member) {
                 continue;
             }
-            // One that said it leaves has left; there is nothing to wait for.
+            // A target that announced its leaving has left and needs no grace period.
             if old.spec.leaving && !outdated.contains(&member) {
                 log::info!(member = member.as_str(); "G0702 a leaving target has left");
                 continue;
             }
-            let gone_at = old.gone_at.unwrap_or(now + LAPSE_GRACE);
-            if now < gone_at {
-                fresh.insert(member, Listed { gone_at: Some(gone_at), ..old });
+            let expires_at = old.expires_at.unwrap_or(now + EXPIRY_GRACE_PERIOD);
+            if now < expires_at {
+                current.insert(member, ListedTarget { expires_at: Some(expires_at), ..old });
             }
         }
-        *targets = fresh;
+        *targets = current;
         drop(targets);
-        self.targets_changed();
+        self.notify_targets_changed();
         true
     }
 
-    /// Drops targets whose grace has passed, and believes those that were doubted for long enough; gives the time of the
-    /// next to look at.
+    /// Removes targets whose grace period has passed, and accepts entries that stayed unverified for long enough. Returns
+    /// when to call this again.
     pub fn remove_expired(&self, now: Instant) -> Option<Instant> {
-        let believed = self.believe_doubted(now);
+        let any_accepted = self.accept_unverified(now);
         let mut targets = self.targets.borrow_mut();
         let before = targets.len();
         targets.retain(|member, it| {
-            let keep = it.gone_at.is_none_or(|at| now < at);
-            if !keep {
-                log::warn!(member = member.as_str(); "G0703 a target is gone: the platform no longer lists it");
+            let is_current = it.expires_at.is_none_or(|at| now < at);
+            if !is_current {
+                log::warn!(member = member.as_str(); "G0703 a target was removed: the platform no longer lists it");
             }
-            keep
+            is_current
         });
-        let next =
-            targets.values().filter_map(|it| it.gone_at).chain(self.doubted_until.get()).min();
-        let changed = targets.len() != before || believed;
+        let next = targets
+            .values()
+            .filter_map(|it| it.expires_at)
+            .chain(self.unverified_until.get())
+            .min();
+        let changed = targets.len() != before || any_accepted;
         drop(targets);
         if changed {
-            self.targets_changed();
+            self.notify_targets_changed();
         }
         next
     }
 
-    /// Takes the entries that are still listed when the time for doubts is over; tells whether there were any.
-    fn believe_doubted(&self, now: Instant) -> bool {
-        if self.doubted_until.get().is_none_or(|until| now < until) {
+    /// Accepts the unverified entries that are still listed when the verification period ends; returns whether there were
+    /// any.
+    fn accept_unverified(&self, now: Instant) -> bool {
+        if self.unverified_until.get().is_none_or(|until| now < until) {
             return false;
         }
-        self.doubted_until.set(None);
-        let doubted = self.doubted.take();
-        let any = !doubted.is_empty();
-        let listed = |spec| Listed { spec: Rc::new(spec), gone_at: None };
-        let believed = doubted.into_iter().map(|(member, spec)| (member, listed(spec)));
-        self.targets.borrow_mut().extend(believed);
+        self.unverified_until.set(None);
+        let unverified = self.unverified.take();
+        let any = !unverified.is_empty();
+        let listed = |spec| ListedTarget { spec: Rc::new(spec), expires_at: None };
+        let accepted = unverified.into_iter().map(|(member, spec)| (member, listed(spec)));
+        self.targets.borrow_mut().extend(accepted);
         any
     }
 
@@ -156,52 +159,52 @@
         self.catalogue.borrow().clone()
     }
 
-    /// The version of the configuration in force; 0 for none.
+    /// The version of the configuration in force; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.catalogue.borrow().as_ref().map_or(0, |it| it.version)
     }
 
-    /// The revision of the list of targets; the first one for none.
+    /// The revision of the list of targets; the default revision if there is none.
     pub fn target_revision(&self) -> Revision {
         self.target_revision.borrow().unwrap_or_default()
     }
 
-    /// How statements of `service` are served.
+    /// The route of `service`.
     pub fn route(&self, service: &ServiceName) -> Option<Route> {
         self.catalogue.borrow().as_ref()?.routes.get(service).cloned()
     }
 
-    /// All targets that are there, lapsed ones in their grace included.
+    /// All targets in use, including those that are no longer listed but still in their grace period.
     pub fn targets(&self) -> Vec<Rc<TargetSpec>> {
         self.targets.borrow().values().map(|it| Rc::clone(&it.spec)).collect()
     }
 
-    /// Statements that a target of `group` runs at once; 0 if none is listed.
+    /// The number of statements that a target of `group` runs at once; 0 if no target is listed.
     pub fn slots(&self, group: &GroupName) -> u32 {
         let mut slots = self.slots.borrow_mut();
         let known = slots.get_or_insert_with(|| {
             let mut slots: BTreeMap<GroupName, u32> = BTreeMap::new();
             for spec in self.targets.borrow().values().map(|it| &it.spec) {
-                let most = slots.entry(spec.group.clone()).or_default();
-                *most = spec.slots.max(*most);
+                let max_slots = slots.entry(spec.group.clone()).or_default();
+                *max_slots = spec.slots.max(*max_slots);
             }
             slots
         });
         known.get(group).copied().unwrap_or(0)
     }
 
-    /// Tells that the targets are no longer what they were.
-    fn targets_changed(&self) {
+    /// Clears the cached slots and notifies that the targets changed.
+    fn notify_targets_changed(&self) {
         self.slots.replace(None);
         self.changed.notify(usize::MAX);
     }
 
-    /// The list as it would be handed to another instance.
+    /// The list of targets to send to another instance; without those that are no longer listed.
     pub fn target_list(&self) -> TargetList {
         let listed = self.targets.borrow();
         let targets = listed
             .values()
-            .filter(|it| it.gone_at.is_none())
+            .filter(|it| it.expires_at.is_none())
             .map(|it| (*it.spec).clone())
             .collect();
         TargetList { revision: self.target_revision(), targets }
@@ -212,7 +215,7 @@
         self.catalogue.borrow().is_some() && !self.targets.borrow().is_empty()
     }
 
-    /// Notified at each change; take it before reading, so that no change is missed.
+    /// Notified at each change. Call it before reading, so that no change is missed.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
--- a/crates/gullspar_direct/src/configuration/mod.rs
+++ b/crates/gullspar_direct/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration and the list of targets that this instance goes by, and where they come from.
+//! The configuration and the list of targets in force, and where they come from.
 
 pub(crate) mod catalogue;
 pub(crate) mod directory;
--- a/crates/gullspar_direct/src/configuration/snapshot.rs
+++ b/crates/gullspar_direct/src/configuration/snapshot.rs
@@ -1,11 +1,11 @@
-//! What one instance hands to another that lacks it.
+//! Messages by which instances exchange the configuration and the list of targets.
 
 use gullspar_model::{Revision, record};
 
 use crate::{Catalogue, TargetList};
 
 record! {
-    /// Asks for whatever is newer than this.
+    /// Requests everything that is newer than these versions.
     #[derive(Copy)]
     pub struct SnapshotRequest {
         pub catalogue_version: u64,
@@ -14,7 +14,7 @@
 }
 
 record! {
-    /// The parts that are newer than what was asked from.
+    /// The parts that are newer than the requested versions.
     pub struct Snapshot {
         pub catalogue: Option<Catalogue>,
         pub targets: Option<TargetList>,
--- a/crates/gullspar_direct/src/configuration/store_contact.rs
+++ b/crates/gullspar_direct/src/configuration/store_contact.rs
@@ -1,4 +1,4 @@
-//! Which instances follow the platform's store, and whether it answers this one.
+//! Decides which instances follow the platform's store, and tracks whether it answers this one.
 
 use std::time::Duration;
 
@@ -7,78 +7,79 @@
 use crate::fleet::homes;
 use crate::{Member, Proxy};
 
-/// Silence of the store after which the list of targets is taken from other instances.
+/// Time without an answer of the store after which the list of targets is fetched from other instances.
 const STORE_SILENT_AFTER: Duration = Duration::from_secs(3);
 
-/// Instances up to which all follow the store: more than today's 7 to 13.
-const ALL_FOLLOW_UP_TO: usize = 16;
+/// Fleet size up to which all instances follow the store.
+const MAX_INSTANCES_ALL_FOLLOWING: usize = 16;
 
-/// Instances of a data centre that follow the store for the others.
-const FOLLOWERS: usize = 2;
+/// Number of instances of a data centre that follow the store in a larger fleet.
+const FOLLOWERS_PER_DATA_CENTRE: usize = 2;
 
-/// What the followers of the store are ranked by.
-const STORE_RANK: &str = "gullspar store";
+/// Key by which the followers of the store are ranked.
+const STORE_RANK_KEY: &str = "gullspar store";
 
-/// Time that each instance of a fleet adds to the pause between two tries of those that leave the store to others.
+/// Retry delay of an instance that is not a follower, per instance of the fleet.
 ///
-/// Together they so make as many tries a second while the store is silent, however many they are. If all tried as often
-/// as the followers, a large fleet would make more calls than the store takes.
-const LAST_RESORT_SPACING: Duration = Duration::from_millis(100);
+/// While the store is silent, the total rate of retries therefore does not depend on the size of the fleet. A large fleet
+/// that retried as often as the followers do would overload the store.
+const RETRY_DELAY_PER_INSTANCE: Duration = Duration::from_millis(100);
 
 impl Proxy {
     /// Whether this instance follows the platform's store itself.
     ///
-    /// A few instances all do. Of many, two in each data centre do, and the others hear of changes from
-    /// them, since each call to the store is paid for; if nobody alive reaches the store, all try.
+    /// In a small fleet all instances do. In a larger one a few in each data centre do and the others receive changes from
+    /// them, which limits the number of calls to the store. If no live instance reaches the store, all try.
     pub fn should_follow_store(&self) -> bool {
-        self.is_store_follower() || self.is_last_resort()
+        self.is_store_follower() || self.is_store_unreachable_for_all()
     }
 
-    /// Whether it is this instance's turn to follow the store.
+    /// Whether this instance is one of the store's followers.
     fn is_store_follower(&self) -> bool {
         let members = self.members();
-        if members.len() <= ALL_FOLLOW_UP_TO {
+        if members.len() <= MAX_INSTANCES_ALL_FOLLOWING {
             return true;
         }
         let mut near: Vec<&Member> = members.near(&self.own.data_centre).iter().collect();
-        near.sort_by_key(|it| homes::weight(STORE_RANK, &it.id));
-        near.iter().take(FOLLOWERS).any(|it| it.id == self.own.id)
+        near.sort_by_key(|it| homes::weight(STORE_RANK_KEY, &it.id));
+        near.iter().take(FOLLOWERS_PER_DATA_CENTRE).any(|it| it.id == self.own.id)
     }
 
-    /// Whether nobody is heard to reach the store, neither this instance nor another.
-    fn is_last_resort(&self) -> bool {
+    /// Whether neither this instance nor, as far as it knows, any other one reaches the store.
+    fn is_store_unreachable_for_all(&self) -> bool {
         let now = self.borders.clock.boot_now();
         !self.can_reach_store() && !self.peers.others_reach_store(now)
     }
 
-    /// The least time between two calls of this instance to a store that does not answer.
+    /// The minimum delay between two calls to a store that does not answer; zero for a follower.
     pub fn store_retry_delay(&self) -> Duration {
         if self.is_store_follower() {
             return Duration::ZERO;
         }
         let instances = self.members().len() as u32;
-        jittered(&*self.borders.entropy, LAST_RESORT_SPACING * instances)
+        jittered(&*self.borders.entropy, RETRY_DELAY_PER_INSTANCE * instances)
     }
 
-    /// Whether this instance's list of targets comes from the store, not from other instances.
+    /// Whether this instance gets its list of targets from the store, not from other instances.
     ///
-    /// One that has read the store once, and leaves it to others, would go by that one list until it counts as
-    /// silent; right after the store's return targets are missing there that are listed again within 2 s.
+    /// Only followers do. An instance that read the store once and then leaves it to others must not keep that list:
+    /// targets may be missing from it right after an outage of the store.
     pub(crate) fn has_targets_from_store(&self) -> bool {
         self.can_reach_store() && self.is_store_follower()
     }
 
+    /// Whether the store answered this instance recently.
     pub(crate) fn can_reach_store(&self) -> bool {
         self.store_silent_for().is_some_and(|it| it < STORE_SILENT_AFTER)
     }
 
-    /// How long the store has not answered; `None` if it never did.
+    /// Time since the store's last answer; `None` if it never answered.
     pub(crate) fn store_silent_for(&self) -> Option<Duration> {
         let now = self.borders.clock.boot_now();
         self.last_store_contact.borrow().map(|at| now.since(at))
     }
 
-    /// The store answered; what it says is newer than what other instances know.
+    /// Records that the store answered just now.
     pub fn record_store_answer(&self) {
         *self.last_store_contact.borrow_mut() = Some(self.borders.clock.boot_now());
     }
--- a/crates/gullspar_direct/src/configuration/update_source.rs
+++ b/crates/gullspar_direct/src/configuration/update_source.rs
@@ -1,4 +1,4 @@
-//! Which instance is asked for what it has newer.
+//! Selects the instance from which newer configuration and targets are fetched.
 
 use std::net::SocketAddr;
 
@@ -6,39 +6,40 @@
 
 use crate::Member;
 
-/// The choice among the instances that are ahead.
+/// Rotates through the instances that have newer versions than this one.
 ///
-/// Near ones go first: chosen from all, nearly all would be in another data centre. Each instance begins with another
-/// one, so that not all ask the same. One that did not answer is followed by the next, near or not: an instance whose
-/// heartbeats arrive may still be out of reach, and asked again and again it would keep the news from this one for as
-/// long as the cut lasts.
+/// Instances of the own data centre are preferred. Each instance starts at a different offset, so that not all ask the
+/// same one. After a failure the next instance of any data centre is asked: an instance whose heartbeats arrive may still
+/// be unreachable, and asking only it would block updates for as long as a partition lasts.
 pub(crate) struct UpdateSource {
-    turn: usize,
-    /// The last one asked did not answer.
+    offset: usize,
+    /// Whether the last instance that was asked did not answer.
     failed: bool,
 }
 
 impl UpdateSource {
-    /// Begins with an instance that follows from `random`.
+    /// Creates a source that starts at a offset derived from `random`.
     pub(crate) fn starting_with(random: u64) -> UpdateSource {
-        UpdateSource { turn: random as usize, failed: false }
+        UpdateSource { offset: random as usize, failed: false }
     }
 
-    /// The instance of `ahead` to ask now, seen from `own`.
+    /// The address of the instance to ask now, out of those `ahead`; `own` is the data centre of this instance.
     pub(crate) fn pick(&self, ahead: &[Member], own: &DataCentre) -> Option<SocketAddr> {
         let near: Vec<&Member> = ahead.iter().filter(|it| it.data_centre == *own).collect();
         let all = ahead.iter().collect();
-        let choice = if self.failed || near.is_empty() { all } else { near };
-        let at = self.turn.checked_rem(choice.len())?;
-        Some(choice[at].address)
+        let candidates = if self.failed || near.is_empty() { all } else { near };
+        let index = self.offset.checked_rem(candidates.len())?;
+        Some(candidates[index].address)
     }
 
+    /// Records that the instance answered.
     pub(crate) fn answered(&mut self) {
         self.failed = false;
     }
 
+    /// Records that the instance did not answer.
     pub(crate) fn failed(&mut self) {
-        self.turn = self.turn.wrapping_add(1);
+        self.offset = self.offset.wrapping_add(1);
         self.failed = true;
     }
 }
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -101,7 +101,7 @@
 
     /// When a target that is learnt now to leave gets no new work any more; `None` for one that stays.
     fn work_ends_at(&self, spec: &TargetSpec) -> Option<BootInstant> {
-        let ends_at = self.borders.clock.boot_now().plus(self.own.leaving_serves);
+        let ends_at = self.borders.clock.boot_now().plus(self.own.leaving_target_timeout);
         spec.leaving.then_some(ends_at)
     }
 
@@ -111,7 +111,7 @@
     /// on a session before this one knows that it is; refused, its callers would find no one.
     pub(crate) fn hold(&self, group: &GroupName) {
         let until = self.borders.clock.now() + HOLD_FOR;
-        self.held.borrow_mut().insert(group.clone(), until);
+        self.forwarded_groups.borrow_mut().insert(group.clone(), until);
         if self.group(group).is_none() {
             self.tend_groups();
         }
@@ -119,7 +119,7 @@
 
     pub(crate) fn is_held(&self, group: &GroupName) -> bool {
         let now = self.borders.clock.now();
-        self.held.borrow().get(group).is_some_and(|until| now < *until)
+        self.forwarded_groups.borrow().get(group).is_some_and(|until| now < *until)
     }
 
     /// What each target of `group` allows; `None` if the configuration does not name the group.
--- a/crates/gullspar_direct/src/lib.rs
+++ b/crates/gullspar_direct/src/lib.rs
@@ -1,7 +1,7 @@
-//! Serving statements over connections that each instance opens to the targets itself.
+//! Serves statements over connections that each instance opens to the targets itself.
 //!
-//! Routing, freshness, queueing, retries, failover, configuration and shutdown live here; what callers,
-//! targets and the platform speak is behind borders. See `docs/design/platform.md`.
+//! This crate implements routing, freshness, queueing, retries, failover, configuration and shutdown. The protocols of
+//! callers, targets and the platform are behind the traits in [`Borders`]. See `docs/design/platform.md`.
 
 mod borders;
 mod configuration;
--- a/crates/gullspar_direct/src/proxy.rs
+++ b/crates/gullspar_direct/src/proxy.rs
@@ -1,4 +1,4 @@
-//! An instance's view of all groups, and the work that keeps it.
+//! The state of one instance, and the tasks that maintain it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,33 +15,33 @@
 use crate::groups::group::Group;
 use crate::{Borders, Directory, Member, PartitionState, PeerTable, Phase, Shutdown};
 
-/// Time after start in which a missing leader is not held against a group.
+/// Time after the start of the instance in which a group without a leader is not yet considered leaderless.
 pub(crate) const SETTLE_PERIOD: Duration = Duration::from_millis(1500);
 
-/// How long callers may still be sent here once the balancer is refused: it asks every second and needs
-/// two refusals.
+/// How long the load balancer may still send callers here after the instance stops reporting that it is ready. The
+/// balancer polls every second and acts on the second refusal.
 pub const ROTATION_DELAY: Duration = Duration::from_millis(2200);
 
-/// How often capacities and memberships are looked at without a cause.
-const TEND_EVERY: Duration = Duration::from_millis(500);
+/// Maximum time between two updates of groups, limits and gauges.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Who this instance is.
+/// The identity of this instance, and the settings that belong to it.
 #[derive(Clone, Debug)]
 pub struct Identity {
     pub id: InstanceId,
     pub data_centre: DataCentre,
-    /// Its processor, in thousandths of a core.
+    /// Processing capacity, in thousandths of a core.
     pub strength: u32,
-    /// Where other instances reach it.
+    /// The address at which other instances reach it.
     pub address: SocketAddr,
-    /// How long the last holder of a group's claim is alone in promoting there.
+    /// How long the last holder of a group's claim keeps the exclusive right to promote a member.
     pub claim_lease: Duration,
-    /// How long after its announcement a target that leaves is given new work.
-    pub leaving_serves: Duration,
+    /// How long a target still gets new work after it announced that it is leaving.
+    pub leaving_target_timeout: Duration,
 }
 
 impl Identity {
-    /// This instance as others know it.
+    /// This instance's entry in the member tables of the others.
     pub(crate) fn member(&self) -> Member {
         Member {
             id: self.id.clone(),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Everything that serving callers needs.
+/// The state that serving callers needs.
 pub struct Proxy {
     pub(crate) borders: Borders,
     pub(crate) own: Identity,
@@ -61,21 +61,22 @@
     pub shutdown: Rc<Shutdown>,
     pub(crate) discovery: Discovery,
     pub(crate) groups: RefCell<BTreeMap<GroupName, Rc<Group>>>,
-    /// Homes that could not be reached, and until when they come last.
+    /// Homes that could not be reached, and until when they are tried last.
     pub(crate) avoided_homes: RefCell<BTreeMap<InstanceId, Instant>>,
-    /// Groups that are served here for sessions that were handed on, and until when.
-    pub(crate) held: RefCell<BTreeMap<GroupName, Instant>>,
-    /// The homes of groups, as last worked out.
+    /// Groups served here for sessions that other instances forwarded, and until when.
+    pub(crate) forwarded_groups: RefCell<BTreeMap<GroupName, Instant>>,
+    /// The homes of groups, as last computed.
     pub(crate) home_plans: RefCell<BTreeMap<GroupName, HomePlan>>,
     pub(crate) limits: Limits,
+    /// When the platform's store last answered this instance.
     pub(crate) last_store_contact: RefCell<Option<BootInstant>>,
     pub(crate) started: Instant,
-    /// It has been able to serve callers.
+    /// Whether the instance has been able to serve callers since its start.
     pub(crate) was_able_to_serve: Cell<bool>,
 }
 
 impl Proxy {
-    /// A proxy that knows nobody but `seeds`.
+    /// Creates a proxy that knows no other instance; `seeds` are the addresses to find some at.
     pub fn new(own: Identity, seeds: Vec<SocketAddr>, borders: Borders) -> Rc<Proxy> {
         let started = borders.clock.now();
         Rc::new(Proxy {
@@ -87,7 +88,7 @@
             discovery: Discovery::default(),
             groups: RefCell::default(),
             avoided_homes: RefCell::default(),
-            held: RefCell::default(),
+            forwarded_groups: RefCell::default(),
             home_plans: RefCell::default(),
             limits: Limits::default(),
             last_store_contact: RefCell::new(None),
@@ -96,7 +97,8 @@
         })
     }
 
-    /// Keeps groups, capacities and other instances' news up to date; never ends.
+    /// Runs the background tasks: heartbeats, updates from other instances, discovery, and the maintenance of groups and
+    /// limits. Never ends.
     pub async fn run(self: Rc<Self>) {
         compio::runtime::spawn(Rc::clone(&self).send_heartbeats()).detach();
         compio::runtime::spawn(Rc::clone(&self).follow_peers()).detach();
@@ -105,17 +107,18 @@
         loop {
             let changed = self.directory.listen();
             let now = self.borders.clock.now();
-            let lapse = self.directory.remove_expired(now);
+            let next_expiry = self.directory.remove_expired(now);
             self.tend_groups();
             self.tend_limits();
             self.borders.stats.record_gauges(&self.gauge_values());
-            let until = lapse.map_or(now + TEND_EVERY, |it| it.min(now + TEND_EVERY));
-            // Either way everything is looked at again.
+            let until = next_expiry
+                .map_or(now + MAINTENANCE_INTERVAL, |it| it.min(now + MAINTENANCE_INTERVAL));
+            // After a change and after the timeout alike, everything is updated again.
             let _ = within(&*self.borders.clock, until, changed).await;
         }
     }
 
-    /// Whether callers should be sent here.
+    /// Whether the load balancer should send callers here.
     pub fn is_ready(&self) -> bool {
         self.directory.is_usable()
             && self.discovery.is_done()
@@ -124,7 +127,7 @@
             && self.has_been_able_to_serve()
     }
 
-    /// The group `name`, if any target of it is there.
+    /// The group `name`, if any of its targets is known.
     pub fn group(&self, name: &GroupName) -> Option<Rc<Group>> {
         self.groups.borrow().get(name).cloned()
     }
--- a/crates/gullspar_direct/src/stats.rs
+++ b/crates/gullspar_direct/src/stats.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of one instance.
+//! Metrics of one instance.
 
 use std::time::Duration;
 
@@ -10,10 +10,11 @@
 
 use crate::session::trace::Trace;
 
-/// Bounds of the latency histograms, in seconds; callers' objectives lie between 0.1 and 0.8.
-const SECONDS: [f64; 12] = [0.005, 0.01, 0.02, 0.04, 0.08, 0.12, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
+/// Bucket bounds of the latency histograms, in seconds; they cover the services' latency objectives of 0.1 to 0.8.
+const LATENCY_BOUNDS_S: [f64; 12] =
+    [0.005, 0.01, 0.02, 0.04, 0.08, 0.12, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
 
-/// The instruments.
+/// The instruments that record the metrics.
 pub struct Stats {
     statements: Counter<u64>,
     statement_seconds: Histogram<f64>,
@@ -35,19 +36,19 @@
     store_silent: Gauge<u64>,
 }
 
-/// What is measured at intervals.
+/// Values of the gauges, which are recorded at intervals.
 pub(crate) struct GaugeValues {
     pub(crate) sessions: u64,
     pub(crate) configuration: u64,
     pub(crate) is_partitioned: bool,
     pub(crate) leaderless: u64,
     pub(crate) instances: u64,
-    /// Time since the store's last answer in milliseconds, if it ever came.
+    /// Time since the store's last answer, in milliseconds; `None` if it never answered.
     pub(crate) store_silent_ms: Option<u64>,
 }
 
 impl Stats {
-    /// Makes all instruments.
+    /// Creates all instruments with `meter`.
     pub fn new(meter: &Meter) -> Stats {
         let counter = |name: &'static str, text: &'static str| {
             meter.u64_counter(name).with_description(text).build()
@@ -57,17 +58,20 @@
         };
         let histogram = |name: &'static str, text: &'static str| {
             let builder = meter.f64_histogram(name).with_description(text);
-            builder.with_boundaries(SECONDS.to_vec()).with_unit("s").build()
+            builder.with_boundaries(LATENCY_BOUNDS_S.to_vec()).with_unit("s").build()
         };
         Stats {
-            statements: counter("gullspar_statements", "Statements answered."),
+            statements: counter(
+                "gullspar_statements",
+                "Statements answered, by access, role of the target and outcome.",
+            ),
             statement_seconds: histogram(
                 "gullspar_statement_duration",
-                "From a statement's arrival to its answer.",
+                "Time from a statement's arrival to its answer.",
             ),
             permit_wait_seconds: histogram(
                 "gullspar_place_wait",
-                "From asking for a place at a target to having one.",
+                "Time that statements waited for a permit to run on a target.",
             ),
             transactions_lost: counter(
                 "gullspar_transactions_lost",
@@ -76,33 +80,33 @@
             promotions: counter("gullspar_promotions", "Promotions ordered, by result."),
             unresponsive_targets: counter(
                 "gullspar_targets_dark",
-                "Times that a target fell silent.",
+                "Times that a target became unresponsive.",
             ),
             rolled_back_points: counter(
                 "gullspar_rolled_back_commits",
-                "Commits that a failover may have undone: those between the new leader's log and the \
-                 newest reading of the old one.",
+                "Commits that a failover may have undone: those between the end of the new leader's \
+                 log and the newest position sample of the old leader.",
             ),
             acknowledged_alone: counter(
                 "gullspar_acknowledged_alone",
-                "Commits acknowledged although no replica was seen to have them.",
+                "Commits acknowledged without confirmation that a replica has them.",
             ),
             keys_refused: counter(
                 "gullspar_keys_refused",
-                "Sessions and statements refused since no customer holds the key.",
+                "Sessions and statements refused because the key belongs to no customer.",
             ),
             limited: counter(
                 "gullspar_limited_operations",
-                "Operations refused since their customer is at its limit.",
+                "Operations refused because their customer is at its limit.",
             ),
             in_grace_period: counter(
                 "gullspar_operations_in_grace",
-                "Operations run while the owner of their customer's quota granted nothing.",
+                "Operations run in the grace period, while the quota owner of their customer granted \
+                 nothing.",
             ),
             connections: counter(
                 "gullspar_target_connections",
-                "Connections to targets, by what became of them: opened, refused, or closed for \
-                 another customer.",
+                "Connections to targets, by event: opened, refused, or closed for another customer.",
             ),
             sessions: gauge("gullspar_sessions", "Callers connected."),
             configuration: gauge(
@@ -111,10 +115,10 @@
             ),
             partitioned: gauge("gullspar_cut_off", "1 while this instance is partitioned."),
             leaderless: gauge("gullspar_groups_without_leader", "Groups without a usable leader."),
-            instances: gauge("gullspar_instances", "Instances alive, this one included."),
+            instances: gauge("gullspar_instances", "Live instances, including this one."),
             store_silent: gauge(
                 "gullspar_store_silent_ms",
-                "Milliseconds since the platform's store answered last.",
+                "Milliseconds since the last answer of the platform's store.",
             ),
         }
     }
@@ -126,9 +130,10 @@
         result: Result<(), &Failure>,
         took: Duration,
     ) {
-        let access = KeyValue::new("access", access_word(access));
+        let access = KeyValue::new("access", access_label(access));
         let part = KeyValue::new("part", if trace.on_leader { "leader" } else { "replica" });
-        let outcome = KeyValue::new("outcome", result.err().map_or("done", |it| word(&it.code)));
+        let outcome =
+            KeyValue::new("outcome", result.err().map_or("done", |it| outcome_label(&it.code)));
         self.statement_seconds.record(took.as_secs_f64(), &[access.clone(), part.clone()]);
         self.statements.add(1, &[access, part, outcome]);
     }
@@ -185,14 +190,14 @@
     }
 }
 
-fn access_word(access: Access) -> &'static str {
+fn access_label(access: Access) -> &'static str {
     match access {
         Access::Read => "read",
         Access::Write => "write",
     }
 }
 
-fn word(code: &FailureCode) -> &'static str {
+fn outcome_label(code: &FailureCode) -> &'static str {
     match code {
         FailureCode::Congested | FailureCode::TooManyConnections => "not_run",
         FailureCode::RolledBack => "rolled_back",
--- a/crates/gullspar_direct/tests/support/mod.rs
+++ b/crates/gullspar_direct/tests/support/mod.rs
@@ -154,7 +154,7 @@
             strength,
             address,
             claim_lease: LEASE,
-            leaving_serves: LEAVING_SERVES,
+            leaving_target_timeout: LEAVING_SERVES,
         };
         let proxy = Proxy::new(own, vec![SocketAddr::from(([127, 0, 0, 1], seed))], borders);
         self.network.join(address, Rc::clone(&proxy));
