--- a/crates/gullspar_statement/src/answer.rs
+++ b/crates/gullspar_statement/src/answer.rs
@@ -1,4 +1,4 @@
-//! The whole answer to one statement.
+//! The answer to one statement.
 
 use arcstr::ArcStr;
 use gullspar_model::{LogPoint, record};
@@ -6,19 +6,19 @@
 use crate::{Failure, TransactionStatus};
 
 record! {
-    /// Rows, how it ended, and what the session looks like afterwards.
+    /// A statement's rows, its result, and the session's transaction status after it.
     pub struct Answer {
         pub rows: Vec<ArcStr>,
-        /// The signature of the target that ran it; `None` for a statement that touches no data.
+        /// On success, the signature of the target that ran the statement; `None` for a statement that touches no data.
         pub result: Result<Option<ArcStr>, Failure>,
         pub status: TransactionStatus,
-        /// The end of the answering target's log.
+        /// The end of the log of the target that answered.
         pub point: Option<LogPoint>,
     }
 }
 
 impl Answer {
-    /// Success of a statement that no target had to run.
+    /// The success of a statement that no target had to run.
     pub fn done_locally(status: TransactionStatus) -> Answer {
         Answer { rows: Vec::new(), result: Ok(None), status, point: None }
     }
@@ -28,7 +28,7 @@
         Answer { rows: Vec::new(), result: Err(failure), status, point: None }
     }
 
-    /// Whether a target answered a statement that touches no data with success.
+    /// Whether this is the success of a statement that touches no data.
     pub fn is_plain_success(&self) -> bool {
         self.result == Ok(None)
     }
--- a/crates/gullspar_statement/src/caller_link.rs
+++ b/crates/gullspar_statement/src/caller_link.rs
@@ -1,4 +1,4 @@
-//! The side of callers.
+//! The interface to a caller's connection.
 
 use std::io;
 
@@ -11,12 +11,12 @@
 use crate::{Answer, Statement};
 
 record! {
-    /// What a caller sends.
+    /// A message from a caller.
     pub enum CallerMessage {
-        /// Opens the session; the key itself is not kept.
+        /// Opens the session; only the fingerprint of the key is kept.
         Open { service: ServiceName, key: Option<KeyFingerprint> },
         Statement(Statement),
-        /// A statement that could not be understood; the session goes on.
+        /// A statement that could not be parsed; the session continues.
         Malformed { id: RequestId, reason: String },
         /// Ends the session.
         Close,
@@ -24,7 +24,7 @@
 }
 
 quick_error! {
-    /// Why nothing more comes from a caller.
+    /// Why no more messages can be read from a caller.
     #[derive(Debug)]
     pub enum CallerLinkError {
         /// The connection broke.
@@ -33,16 +33,16 @@
             source(err)
             display("the caller's connection broke: {err}")
         }
-        /// What came is no message at all, so that nothing after it can be trusted.
+        /// The data is not a valid message, so nothing after it can be parsed either.
         Unreadable(reason: &'static str) {
-            display("unreadable: {reason}")
+            display("unreadable message from the caller: {reason}")
         }
     }
 }
 
 /// One caller's connection.
 pub trait CallerLink {
-    /// The next message; `None` when the caller has gone. A call that is dropped loses nothing.
+    /// The next message; `None` when the caller has disconnected. Cancel-safe.
     fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<CallerMessage>, CallerLinkError>>;
 
     /// Sends one answer.
@@ -51,11 +51,11 @@
         answer: &'a Answer,
     ) -> LocalBoxFuture<'a, Result<(), CallerLinkError>>;
 
-    /// Whether nothing that the caller sent waits to be read.
+    /// Whether no message from the caller waits to be read.
     fn is_quiet(&self) -> bool;
 
-    /// Asks the other side to end the session, where it can be asked; `false` where it can't, and the
-    /// session is simply closed.
+    /// Asks the other side to end the session. Returns `false` if the protocol can't do that and the session is just
+    /// closed.
     fn request_end(&mut self) -> LocalBoxFuture<'_, Result<bool, CallerLinkError>> {
         async { Ok(false) }.boxed_local()
     }
--- a/crates/gullspar_statement/src/definition.rs
+++ b/crates/gullspar_statement/src/definition.rs
@@ -1,4 +1,4 @@
-//! What a prepared statement does.
+//! Definitions of prepared statements.
 
 use arcstr::ArcStr;
 use gullspar_model::Access;
@@ -6,8 +6,8 @@
 gullspar_model::record! {
     /// A prepared statement without its name.
     ///
-    /// Callers give the same names to different statements, so on shared connections it is known by
-    /// what it does.
+    /// Callers use the same names for different statements, so on shared connections a prepared statement is
+    /// identified by its definition.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct Definition {
         pub access: Access,
--- a/crates/gullspar_statement/src/failure.rs
+++ b/crates/gullspar_statement/src/failure.rs
@@ -1,45 +1,45 @@
-//! Why a statement failed.
+//! Failures of statements.
 
 use arcstr::ArcStr;
 
 gullspar_model::record! {
-    /// The kinds of failure that callers and routing tell apart.
+    /// The kinds of failure that callers and routing distinguish.
     pub enum FailureCode {
-        /// Too busy; it did not run.
+        /// The target or gullspar is too busy; the statement did not run.
         Congested,
-        /// The transaction was rolled back; nothing of it is kept.
+        /// The transaction was rolled back and had no effect.
         RolledBack,
-        /// The target's log does not reach the asked point; it did not run.
+        /// The target's log has not reached the required point; the statement did not run.
         Behind,
-        /// The target does not lead; it did not run.
+        /// The target is not the leader; the statement did not run.
         ReadOnly,
-        /// Another member answers at this address; it did not run.
+        /// Another member answers at this address; the statement did not run.
         WrongTarget,
-        /// No further connection is accepted; it did not run.
+        /// The target accepts no more connections; the statement did not run.
         TooManyConnections,
-        /// It can't be told whether it ran.
+        /// It is unknown whether the statement ran.
         Unknown,
-        /// It ran out of time and may have run.
+        /// The deadline passed; the statement may have run.
         TimedOut,
-        /// It ran and failed.
+        /// The statement ran and failed.
         Failed,
-        /// No statement was prepared under that name; it did not run.
+        /// No statement is prepared under this name; nothing ran.
         NoSuchPrepared,
-        /// No service has that name.
+        /// No service has this name.
         NoSuchService,
-        /// The caller's key is unknown; it did not run.
+        /// The caller's key is unknown; the statement did not run.
         Unauthenticated,
-        /// It can't be understood, or makes no sense now.
+        /// The statement can't be parsed, or is not allowed in the session's current state.
         Malformed,
         /// The message is too long.
         TooLarge,
-        /// A code of the target that is only passed on.
+        /// Any other code of a target; it is forwarded to the caller unchanged.
         Other(ArcStr),
     }
 }
 
 gullspar_model::record! {
-    /// A failed statement's report.
+    /// The code and the message of a failed statement.
     pub struct Failure {
         pub code: FailureCode,
         pub text: ArcStr,
@@ -47,17 +47,17 @@
 }
 
 impl Failure {
-    /// A report of our own.
+    /// Creates a failure that gullspar itself reports.
     pub fn new(code: FailureCode, text: impl Into<ArcStr>) -> Failure {
         Failure { code, text: text.into() }
     }
 
-    /// Whether the target ran it and it failed there; another target may do better.
+    /// Whether the target ran the statement and it failed there; it may succeed on another target.
     pub fn has_failed_on_target(&self) -> bool {
         self.code == FailureCode::Failed
     }
 
-    /// Whether the target that reported it certainly did not run the statement.
+    /// Whether the target that reported this certainly did not run the statement.
     pub fn has_not_run(&self) -> bool {
         matches!(
             self.code,
--- a/crates/gullspar_statement/src/lib.rs
+++ b/crates/gullspar_statement/src/lib.rs
@@ -1,6 +1,6 @@
-//! Statements, answers and the borders over which they travel, whatever protocol carries them.
+//! Statements, answers, and the traits for connections to callers and targets, independent of any protocol.
 //!
-//! A protocol decodes once into these types; routing, queueing and retrying know nothing else.
+//! Protocols decode into these types once; routing, queueing and retries work on nothing else.
 
 mod answer;
 mod caller_link;
--- a/crates/gullspar_statement/src/statement.rs
+++ b/crates/gullspar_statement/src/statement.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for.
+//! Statements of callers.
 
 use arcstr::ArcStr;
 use gullspar_model::{RequestId, record};
@@ -6,7 +6,7 @@
 use crate::Definition;
 
 record! {
-    /// What a statement does, as far as routing is concerned.
+    /// The kind of a statement, as far as it matters for routing.
     pub enum Action {
         Begin { read_only: bool },
         Commit,
@@ -16,15 +16,15 @@
         /// Sets a value of the session.
         Set { name: ArcStr, value: ArcStr },
         Prepare { name: ArcStr, definition: Definition },
-        /// Runs what was prepared under `name`; `arguments` are what follows the name.
+        /// Runs the statement prepared under `name`; `arguments` is the text that follows the name.
         Execute { name: ArcStr, arguments: ArcStr },
-        /// Forgets what was prepared under `name`.
+        /// Removes the statement prepared under `name`.
         Deallocate { name: ArcStr },
     }
 }
 
 impl Action {
-    /// A word for the log.
+    /// The action's name in the log.
     pub fn name(&self) -> &'static str {
         match self {
             Action::Begin { .. } => "begin",
@@ -41,7 +41,7 @@
 }
 
 record! {
-    /// One statement of a caller; targets get `text` as it came.
+    /// One statement of a caller; `text` is sent to targets unchanged.
     pub struct Statement {
         pub id: RequestId,
         pub text: ArcStr,
--- a/crates/gullspar_statement/src/target_command.rs
+++ b/crates/gullspar_statement/src/target_command.rs
@@ -1,4 +1,4 @@
-//! What gullspar sends to a target.
+//! Commands that gullspar sends to a target.
 
 use arcstr::ArcStr;
 use gullspar_model::{LogPoint, RequestId, record};
@@ -6,23 +6,23 @@
 use crate::Definition;
 
 record! {
-    /// One command; those without a request id are gullspar's own.
+    /// One command; those without a request id don't come from a caller.
     ///
-    /// `at_least` makes the target refuse unless its log reaches that point.
+    /// With `at_least`, the target refuses the command unless its log has reached that point.
     pub enum TargetCommand {
-        /// Opens a transaction that only the group's leader accepts, and only while it leads.
+        /// Opens a transaction; only the group's current leader accepts it.
         Begin,
         BeginReadOnly { at_least: Option<LogPoint> },
         RollBack,
-        /// Forgets session values and prepared statements.
+        /// Clears session values and prepared statements.
         Reset,
         Set { name: ArcStr, value: ArcStr },
         Prepare { name: ArcStr, definition: Definition },
-        /// A caller's statement as it came.
+        /// A caller's statement, unchanged.
         Run { id: RequestId, text: ArcStr, at_least: Option<LogPoint> },
-        /// A caller's prepared statement, under the name that it has on this connection.
+        /// Runs a caller's prepared statement by its name on this connection.
         Execute { id: RequestId, name: ArcStr, arguments: ArcStr, at_least: Option<LogPoint> },
-        /// Asks how far the target's log reaches with what it has received.
+        /// Asks for the end of the log that the target has received.
         ReceivedPoint,
     }
 }
--- a/crates/gullspar_statement/src/target_link.rs
+++ b/crates/gullspar_statement/src/target_link.rs
@@ -1,4 +1,4 @@
-//! The side of targets.
+//! The interface to connections to targets.
 
 use std::io;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 use crate::{Answer, Failure, TargetCommand, TargetSpec};
 
 quick_error! {
-    /// Why a target's connection is of no more use.
+    /// Why a connection to a target can no longer be used.
     #[derive(Debug)]
     pub enum TargetLinkError {
         /// The connection broke.
@@ -19,9 +19,9 @@
             source(err)
             display("the target's connection broke: {err}")
         }
-        /// What came is no answer.
+        /// The data is not a valid answer.
         Unreadable(reason: &'static str) {
-            display("unreadable: {reason}")
+            display("unreadable answer of the target: {reason}")
         }
     }
 }
@@ -30,11 +30,11 @@
     /// Why no connection to a target could be opened.
     #[derive(Debug)]
     pub enum OpenError {
-        /// The target answers and refuses.
+        /// The target refused the connection.
         Refused(failure: Failure) {
             display("refused: {}", failure.text)
         }
-        /// Nothing answers at its address, or not in time.
+        /// Nothing answered at the target's address, or not before the deadline.
         Unreachable(reason: String) {
             display("unreachable: {reason}")
         }
@@ -45,17 +45,17 @@
 pub trait TargetLink {
     /// Sends all commands at once and collects their answers in order.
     ///
-    /// Dropped half way, the connection is in an unknown state and must be closed.
+    /// If the call is dropped before it finishes, the connection is in an unknown state and must be closed.
     fn exchange(
         &mut self,
         commands: Vec<TargetCommand>,
     ) -> LocalBoxFuture<'_, Result<Vec<Answer>, TargetLinkError>>;
 
-    /// Whether the connection is still there and nothing came unasked.
+    /// Whether the connection is still open and no unexpected data arrived.
     fn is_quiet(&self) -> bool;
 }
 
-/// A connection just opened.
+/// A newly opened connection.
 pub struct OpenedTarget {
     pub link: Box<dyn TargetLink>,
     /// The end of the target's log.
@@ -64,8 +64,12 @@
 
 /// Opens connections to targets.
 pub trait TargetDialer {
-    /// Connects to the member that `spec` names and to no other, for `customer` and nobody else, giving up at
-    /// `deadline`.
+    /// Connects to the member that `spec` names, and fails if another member answers. The connection may be used for
+    /// `customer` only.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the target refuses the connection, or can't be reached before `deadline`.
     fn open<'a>(
         &'a self,
         spec: &'a TargetSpec,
--- a/crates/gullspar_statement/src/target_spec.rs
+++ b/crates/gullspar_statement/src/target_spec.rs
@@ -1,22 +1,22 @@
-//! A target as the platform lists it.
+//! The platform's entry for a target.
 
 use std::net::SocketAddr;
 
 use gullspar_model::{DataCentre, GroupName, MemberName, record};
 
 impl TargetSpec {
-    /// Whether `newer` tells of a later start of the process.
+    /// Whether `newer` has a later start of the target's process.
     pub fn is_restarted_in(&self, newer: &TargetSpec) -> bool {
         newer.started_ms > self.started_ms
     }
 
-    /// Whether this says more recent things of the target than `other` does.
+    /// Whether this entry of the target is more recent than `other`.
     ///
-    /// Only entries that tell their start can be ordered: without it a count that began anew looks old.
+    /// Entries are ordered by `beat` only if both have a start time, because `beat` restarts with the process.
     pub fn is_newer_than(&self, other: &TargetSpec) -> bool {
         match (self.started_ms, other.started_ms) {
-            (Some(own), Some(others)) => (own, self.beat) > (others, other.beat),
-            (own, others) => own > others,
+            (Some(own), Some(theirs)) => (own, self.beat) > (theirs, other.beat),
+            (own, theirs) => own > theirs,
         }
     }
 }
@@ -28,16 +28,15 @@
         pub group: GroupName,
         pub address: SocketAddr,
         pub data_centre: DataCentre,
-        /// Statements that it runs at once.
+        /// The number of statements that it runs at once.
         pub slots: u32,
-        /// It will go away and gets no new work.
+        /// Whether it has announced that it will shut down, and so will get no more new work.
         pub leaving: bool,
-        /// When its process started, in milliseconds since 1970 by its own clock; `None` if it does not tell.
+        /// When its process started, in milliseconds since 1970 by its own clock; `None` if it does not report this.
         ///
-        /// A later start under the same name is another target: it holds nothing of what the earlier one
-        /// did.
+        /// A process with a later start under the same name is a different target without the state of the earlier one.
         pub started_ms: Option<u64>,
-        /// Counts what it says of itself, anew with each start.
+        /// Counts the target's updates of this entry; restarts with each start of its process.
         pub beat: u64,
     }
 }
--- a/crates/gullspar_statement/src/transaction_status.rs
+++ b/crates/gullspar_statement/src/transaction_status.rs
@@ -1,4 +1,4 @@
-//! Where a session stands.
+//! The transaction status of a session.
 
 gullspar_model::record! {
     /// Whether a transaction is open on a session.
@@ -6,7 +6,7 @@
     pub enum TransactionStatus {
         Idle,
         Open,
-        /// The transaction failed; only its end is accepted, and rolls it back.
+        /// The transaction failed; only commit and rollback are accepted, and both roll it back.
         Failed,
     }
 }
