--- a/crates/gullspar_fleet/src/config_store.rs
+++ b/crates/gullspar_fleet/src/config_store.rs
@@ -1,4 +1,4 @@
-//! The configuration that this instance has in force.
+//! The configuration in force at this instance.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,21 +17,23 @@
     pub object: Rc<ServiceObject>,
 }
 
-/// A group's leadership and its version.
+/// A group's leadership record and its version.
 #[derive(Clone, Debug)]
 pub struct VersionedGroup {
     pub version: ObjectVersion,
     pub object: Rc<GroupObject>,
 }
 
-/// An object in force. A service's text is not kept beside it: written anew where another instance asks,
-/// it is the same, since a service with fields that are not known is not applied.
+/// An object in force.
+///
+/// A service's text is not stored, because it can be serialized again without loss: services with unknown fields are not
+/// applied.
 struct Entry {
     version: ObjectVersion,
     text: Option<String>,
 }
 
-/// Objects applied so far, each only ever upward.
+/// The objects in force; none is ever replaced by an older version.
 #[derive(Default)]
 pub struct ConfigStore {
     entries: RefCell<BTreeMap<String, Entry>>,
@@ -42,33 +44,33 @@
 }
 
 impl ConfigStore {
-    /// Puts `entry` in force unless the same or a newer version is.
+    /// Puts `entry` in force unless the same or a newer version is; returns whether it did.
     ///
-    /// Answers of the platform and of other instances arrive in any order. Without the comparison a
-    /// late one would put an old configuration back in force, seen as status flapping between two
-    /// versions.
+    /// Answers of the platform and of other instances arrive in any order. Without the comparison, a late answer would
+    /// restore an old version.
     pub fn apply(&self, entry: &ConfigEntry) -> bool {
         let known = self.version(&entry.key);
         if entry.version <= known && Guard::UpwardOnly.holds() {
             return false;
         }
-        if let Err(err) = self.take(entry) {
-            // A version that can't be read must not stop the one in force.
+        if let Err(err) = self.parse_and_store(entry) {
+            // The version in force stays if a newer one is unreadable.
             log::error!("G0201 {} version {} is unreadable: {err}", entry.key, entry.version.0);
             return false;
         }
-        let mark = |version: ObjectVersion| weight(&entry.key, &version.0.to_string());
-        let removed = if known == ObjectVersion::default() { 0 } else { mark(known) };
-        self.digest.set(self.digest.get() ^ removed ^ mark(entry.version));
-        let service = entry.key.starts_with(ServiceObject::PREFIX);
-        let text = (!service).then(|| entry.value.clone());
-        let kept = Entry { version: entry.version, text };
-        self.entries.borrow_mut().insert(entry.key.clone(), kept);
+        let digest_of = |version: ObjectVersion| weight(&entry.key, &version.0.to_string());
+        let removed = if known == ObjectVersion::default() { 0 } else { digest_of(known) };
+        self.digest.set(self.digest.get() ^ removed ^ digest_of(entry.version));
+        let is_service = entry.key.starts_with(ServiceObject::PREFIX);
+        let text = (!is_service).then(|| entry.value.clone());
+        let applied = Entry { version: entry.version, text };
+        self.entries.borrow_mut().insert(entry.key.clone(), applied);
         self.changed.notify(usize::MAX);
         true
     }
 
-    fn take(&self, entry: &ConfigEntry) -> Result<(), serde_json::Error> {
+    /// Parses the object of `entry` and stores it.
+    fn parse_and_store(&self, entry: &ConfigEntry) -> Result<(), serde_json::Error> {
         let version = entry.version;
         if let Some(name) = entry.key.strip_prefix(ServiceObject::PREFIX) {
             let object = Rc::new(serde_json::from_str(&entry.value)?);
@@ -82,12 +84,12 @@
         Ok(())
     }
 
-    /// The version in force of the object at `key`; 0 for none.
+    /// The version in force of the object at `key`; 0 if there is none.
     pub fn version(&self, key: &str) -> ObjectVersion {
         self.entries.borrow().get(key).map_or(ObjectVersion::default(), |it| it.version)
     }
 
-    /// A number that two instances share exactly when they hold the same versions.
+    /// A digest of all keys and versions in force; equal on instances that have the same versions.
     pub fn digest(&self) -> u64 {
         self.digest.get()
     }
@@ -102,7 +104,7 @@
         self.services.borrow().iter().map(|(name, it)| (name.clone(), it.clone())).collect()
     }
 
-    /// Who leads the group `name`.
+    /// The leadership record of the group `name`.
     pub fn group(&self, name: &GroupName) -> Option<VersionedGroup> {
         self.groups.borrow().get(name).cloned()
     }
@@ -112,7 +114,7 @@
         self.entries.borrow().iter().map(|(key, it)| (key.clone(), it.version)).collect()
     }
 
-    /// The objects that are newer here than in `known`.
+    /// The objects whose version here is newer than in `known`, or that `known` lacks.
     pub fn newer_than(&self, known: &[(String, ObjectVersion)]) -> Vec<ConfigEntry> {
         let known: BTreeMap<&str, ObjectVersion> =
             known.iter().map(|(key, version)| (key.as_str(), *version)).collect();
@@ -120,10 +122,11 @@
         let newer = entries
             .iter()
             .filter(|(key, it)| known.get(key.as_str()).is_none_or(|known| *known < it.version));
-        newer.filter_map(|(key, it)| self.written(key, it)).collect()
+        newer.filter_map(|(key, it)| self.to_config_entry(key, it)).collect()
     }
 
-    fn written(&self, key: &str, entry: &Entry) -> Option<ConfigEntry> {
+    /// The entry to send to another instance.
+    fn to_config_entry(&self, key: &str, entry: &Entry) -> Option<ConfigEntry> {
         let value = match &entry.text {
             Some(text) => text.clone(),
             None => {
@@ -134,7 +137,7 @@
         Some(ConfigEntry { key: key.to_owned(), version: entry.version, value })
     }
 
-    /// Notified at each change; take it before reading, so that no change is missed.
+    /// Notified at each change. Call it before reading, so that no change is missed.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
--- a/crates/gullspar_fleet/src/config_sync.rs
+++ b/crates/gullspar_fleet/src/config_sync.rs
@@ -1,4 +1,4 @@
-//! Bringing configuration from the platform to every instance.
+//! Distributes the configuration from the platform to all instances.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,21 +10,22 @@
 
 use crate::Fleet;
 
-/// What the relays of a data centre are ranked by.
-const RELAY_KEY: &str = "gullspar relay";
+/// Key by which the relays of a data centre are ranked.
+const RELAY_RANK_KEY: &str = "gullspar relay";
 
-/// Prefix of everything that gullspar keeps on the platform.
+/// Prefix of all keys that gullspar stores on the platform.
 const PREFIX: &str = "gullspar/";
 
-/// Instances of a data centre that watch the platform.
+/// Number of instances of a data centre that watch the platform.
 ///
-/// Two, so that the loss of one is not noticed; the platform counts each waiting watch.
-const RELAYS: usize = 2;
+/// With two, the loss of one delays no update; more would add load, since each watch counts on the platform.
+const RELAYS_PER_DATA_CENTRE: usize = 2;
 
-/// Pause between looks at whether one is a relay.
-const RELAY_LOOK: Duration = Duration::from_millis(500);
+/// Time between two checks of whether this instance is a relay.
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Fleet {
+    /// Watches the platform while this instance is a relay. Never ends.
     pub(crate) async fn run_config(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut revision = 0;
@@ -33,7 +34,7 @@
             if !self.is_relay() {
                 revision = 0;
                 let changed = self.listen();
-                let _ = within(&*clock, clock.now() + RELAY_LOOK, changed).await;
+                let _ = within(&*clock, clock.now() + RELAY_CHECK_INTERVAL, changed).await;
                 continue;
             }
             let sent_at = clock.now();
@@ -42,10 +43,10 @@
                 Ok(reply) => {
                     pace.answered();
                     revision = reply.revision;
-                    self.take_watched(reply);
+                    self.apply_watch_reply(reply);
                 }
                 Err(err) => {
-                    log::warn!("G0204 watching the platform failed: {err}");
+                    log::warn!("G0204 a watch on the platform failed: {err}");
                     clock.sleep_until(pace.failed(sent_at, &*self.borders.entropy)).await;
                 }
             }
@@ -55,11 +56,11 @@
     /// Whether this instance watches the platform for its data centre.
     pub fn is_relay(&self) -> bool {
         let own = self.data_centre();
-        let relays = self.first(RELAYS, RELAY_KEY, &own);
+        let relays = self.highest_ranked(RELAYS_PER_DATA_CENTRE, RELAY_RANK_KEY, &own);
         relays.iter().any(|it| it.id == self.id())
     }
 
-    fn take_watched(self: &Rc<Self>, reply: WatchReply) {
+    fn apply_watch_reply(self: &Rc<Self>, reply: WatchReply) {
         let entries = reply
             .changed
             .into_iter()
@@ -68,11 +69,11 @@
         self.apply_entries(entries, true);
     }
 
-    /// Puts entries in force and, as a relay, hands the new ones to the others of the data centre.
-    pub fn apply_entries(self: &Rc<Self>, entries: Vec<ConfigEntry>, pass_on: bool) {
-        let fresh: Vec<ConfigEntry> =
+    /// Puts entries in force. With `forward`, it sends the new ones to the other instances of the data centre.
+    pub fn apply_entries(self: &Rc<Self>, entries: Vec<ConfigEntry>, forward: bool) {
+        let applied: Vec<ConfigEntry> =
             entries.into_iter().filter(|it| self.config.apply(it)).collect();
-        if fresh.is_empty() || !pass_on {
+        if applied.is_empty() || !forward {
             return;
         }
         let own = self.own.borrow().clone();
@@ -80,18 +81,18 @@
             .instances()
             .into_iter()
             .filter(|it| it.takes_work() && it.id != own.id && it.data_centre == own.data_centre);
-        self.push(others.map(|it| it.peer).collect(), &fresh, false);
+        self.push(others.map(|it| it.peer).collect(), &applied, false);
     }
 
-    /// Puts entries in force here and on all other instances, through the relays of each data
-    /// centre, without waiting for the platform's watches.
+    /// Puts entries in force here, and sends them to the relays of all other data centres without waiting for the
+    /// platform's watches.
     pub fn distribute(self: &Rc<Self>, entries: Vec<ConfigEntry>) {
         self.apply_entries(entries.clone(), true);
         let own = self.data_centre();
         let data_centres: BTreeSet<DataCentre> =
             self.instances().into_iter().map(|it| it.data_centre).filter(|it| *it != own).collect();
         let relays = data_centres.iter().flat_map(|data_centre| {
-            let relays = self.first(RELAYS, RELAY_KEY, data_centre);
+            let relays = self.highest_ranked(RELAYS_PER_DATA_CENTRE, RELAY_RANK_KEY, data_centre);
             relays.into_iter().filter(|it| it.data_centre == *data_centre).map(|it| it.peer)
         });
         self.push(relays.collect(), &entries, true);
@@ -102,12 +103,12 @@
             let req = PeerRequest::Push { entries: entries.to_vec(), pass_on };
             let deadline = self.borders.clock.now() + self.timing.answer_timeout;
             let call = self.borders.peers.call(peer, req, deadline);
-            // An instance that misses the push notices by its digest at the next exchange.
+            // An instance that misses the push sees a different digest at the next exchange and pulls the entries.
             compio::runtime::spawn(async move { drop(call.await) }).detach();
         }
     }
 
-    /// Takes whatever the instance at `peer` has newer.
+    /// Fetches and applies all entries that are newer at the instance at `peer`.
     pub(crate) async fn pull_from(self: &Rc<Self>, peer: SocketAddr) {
         let req = PeerRequest::Pull { known: self.config.versions() };
         let deadline = self.borders.clock.now() + 4 * self.timing.answer_timeout;
--- a/crates/gullspar_fleet/src/fleet.rs
+++ b/crates/gullspar_fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! This instance among the others.
+//! The instances known to this one, and which of them are the homes of targets.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 use crate::member_table::MemberTable;
 use crate::{ConfigStore, FleetTiming, weight};
 
-/// The borders that an instance meets the world through.
+/// The external dependencies of an instance.
 #[derive(Clone)]
 pub struct Borders {
     pub clock: Rc<dyn Clock>,
@@ -22,14 +22,14 @@
     pub platform: Rc<dyn Platform>,
 }
 
-/// The home of a target, for as long as the instances stay the same.
+/// The home of a target, valid for one generation of the member table.
 struct CachedHome {
     generation: u64,
     data_centre: DataCentre,
     home: Option<Rc<InstanceRecord>>,
 }
 
-/// The instances that take work, by data centre.
+/// The instances that accept work, by data centre, for one generation of the member table.
 #[derive(Default)]
 struct LiveIndex {
     generation: u64,
@@ -37,31 +37,31 @@
     all: Rc<Vec<Rc<InstanceRecord>>>,
 }
 
-/// How long an instance looks for others before it acts alone.
-const JOIN_WITHIN: Duration = Duration::from_millis(1200);
+/// How long an instance tries to find others before it acts alone.
+const JOIN_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The instances known to this one, and the configuration shared with them.
+/// The member table and the configuration of this instance.
 pub struct Fleet {
     pub(crate) own: RefCell<InstanceRecord>,
     pub(crate) table: RefCell<MemberTable>,
     pub(crate) borders: Borders,
     pub(crate) timing: FleetTiming,
     pub(crate) seeds: Vec<std::net::SocketAddr>,
-    /// Whether another instance answered since the start.
-    pub(crate) heard_of_others: Cell<bool>,
-    /// When an instance that heard of no other takes itself for the only one.
-    alone_from: Instant,
+    /// Whether there was an exchange with another instance since the start.
+    pub(crate) has_contacted_others: Cell<bool>,
+    /// When an instance that has contacted no other one assumes that it is alone.
+    alone_after: Instant,
     homes: RefCell<HashMap<TargetKey, CachedHome>>,
     live: RefCell<LiveIndex>,
     changed: Event,
-    /// Apart from `changed`, because every idle session waits for it.
+    /// Notified when this instance begins to leave. Separate from `changed`, because every idle session listens to it.
     leaving: Event,
     /// The configuration in force.
     pub config: ConfigStore,
 }
 
 impl Fleet {
-    /// A fleet that knows only this instance and where to ask for others.
+    /// Creates a fleet that knows only this instance; `seeds` are the addresses to find others at.
     pub fn new(
         own: InstanceRecord,
         seeds: Vec<std::net::SocketAddr>,
@@ -69,11 +69,11 @@
         timing: FleetTiming,
     ) -> Rc<Fleet> {
         let mut table = MemberTable::default();
-        table.learn(&own, None);
-        let alone_from = borders.clock.now() + JOIN_WITHIN;
+        table.merge(&own, None);
+        let alone_after = borders.clock.now() + JOIN_TIMEOUT;
         Rc::new(Fleet {
-            heard_of_others: Cell::new(false),
-            alone_from,
+            has_contacted_others: Cell::new(false),
+            alone_after,
             own: RefCell::new(own),
             table: RefCell::new(table),
             borders,
@@ -87,12 +87,12 @@
         })
     }
 
-    /// The borders that this instance meets the world through.
+    /// The external dependencies of this instance.
     pub fn borders(&self) -> &Borders {
         &self.borders
     }
 
-    /// Runs gossip and configuration for as long as the task lives.
+    /// Runs gossip and the distribution of the configuration. Never ends.
     pub async fn run(self: Rc<Self>) {
         let gossip = Rc::clone(&self).run_gossip();
         let config = Rc::clone(&self).run_config();
@@ -114,28 +114,28 @@
         self.own.borrow().state == InstanceState::Leaving
     }
 
-    /// Announces that this instance takes no new work.
+    /// Marks this instance as leaving, so that it gets no new work.
     pub fn leave(&self) {
         self.own.borrow_mut().state = InstanceState::Leaving;
         let own = self.own.borrow().clone();
-        self.learn(&own, None);
+        self.merge(&own, None);
         self.leaving.notify(usize::MAX);
     }
 
-    /// All instances known, dead ones included.
+    /// All known instances, including dead ones.
     pub fn instances(&self) -> Vec<InstanceRecord> {
         self.table.borrow().all().cloned().collect()
     }
 
-    /// How many instances take work.
+    /// The number of instances that accept work.
     pub fn live_count(&self) -> usize {
         self.table.borrow().all().filter(|it| it.takes_work()).count()
     }
 
-    /// The instances that could hold something in `data_centre`: those there, or all where none is.
+    /// The instances that can be homes of targets in `data_centre`: those located there, or all if there are none.
     ///
-    /// Kept by data centre: looking through the whole fleet for each target would take seconds of
-    /// processor time at every change of instances.
+    /// Cached by data centre, because scanning the whole fleet for each target at every change of instances would be too
+    /// slow.
     fn candidates(&self, data_centre: &DataCentre) -> Rc<Vec<Rc<InstanceRecord>>> {
         let mut live = self.live.borrow_mut();
         let table = self.table.borrow();
@@ -146,8 +146,8 @@
         Rc::clone(near.unwrap_or(&live.all))
     }
 
-    /// The `count` first instances by rank for `key`.
-    pub(crate) fn first(
+    /// The `count` highest-ranked candidates for `key`.
+    pub(crate) fn highest_ranked(
         &self,
         count: usize,
         key: &str,
@@ -159,15 +159,15 @@
         ranked
     }
 
-    /// Counts up whenever what is known of the instances changes.
+    /// A counter that increases with each change of the member table.
     pub fn generation(&self) -> u64 {
         self.table.borrow().generation
     }
 
     /// The instance that holds the connections of `target`.
     ///
-    /// An instance of the target's data centre, by rendezvous hashing; where none is left there, one
-    /// of all, so that the target is still served, over the longer way.
+    /// It is chosen by rendezvous hashing among the instances of the target's data centre, or among all instances if none
+    /// is left there.
     pub fn home(&self, target: &TargetKey, data_centre: &DataCentre) -> Option<Rc<InstanceRecord>> {
         let generation = self.generation();
         if let Some(cached) = self.homes.borrow().get(target)
@@ -187,11 +187,10 @@
 
     /// Whether this instance may act as a home.
     ///
-    /// An instance that just started knows of no other and would take itself for the home of
-    /// everything. A data centre that restarts at once would so open every connection to every target
-    /// from every instance.
+    /// An instance that has just started knows no other one and would consider itself the home of all targets. If a whole
+    /// data centre restarts, each instance would then connect to every target.
     fn has_joined(&self) -> bool {
-        self.heard_of_others.get() || self.borders.clock.now() >= self.alone_from
+        self.has_contacted_others.get() || self.borders.clock.now() >= self.alone_after
     }
 
     /// Whether this instance holds the connections of `target`.
@@ -203,8 +202,8 @@
         home.is_some_and(|it| it.id == self.own.borrow().id)
     }
 
-    /// Whether anything in `data_centre` can be this instance's; most of a large fleet's targets are
-    /// told apart by this alone.
+    /// Whether this instance can be the home of targets in `data_centre`; a cheap check that excludes most targets of a
+    /// large fleet.
     fn may_hold(&self, data_centre: &DataCentre) -> bool {
         let own = self.own.borrow();
         own.data_centre == *data_centre
@@ -216,23 +215,23 @@
         self.leaving.listen()
     }
 
-    /// Notified when the instances change; take it before reading, so that no change is missed.
+    /// Notified when the instances change. Call it before reading, so that no change is missed.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// Wakes whoever waits for a change of instances.
+    /// Notifies all that listen for a change of instances.
     pub(crate) fn notify(&self) {
         self.changed.notify(usize::MAX);
     }
 
-    /// Believes a record if it is news.
-    pub(crate) fn learn(&self, record: &InstanceRecord, due_at: Option<Instant>) -> bool {
-        let news = self.table.borrow_mut().learn(record, due_at);
-        if news {
+    /// Merges a record into the member table if it supersedes the known one; returns whether it did.
+    pub(crate) fn merge(&self, record: &InstanceRecord, due_at: Option<Instant>) -> bool {
+        let is_new = self.table.borrow_mut().merge(record, due_at);
+        if is_new {
             self.changed.notify(usize::MAX);
         }
-        news
+        is_new
     }
 }
 
@@ -246,7 +245,10 @@
         }
         LiveIndex {
             generation: table.generation,
-            near: near.into_iter().map(|(place, records)| (place, Rc::new(records))).collect(),
+            near: near
+                .into_iter()
+                .map(|(data_centre, records)| (data_centre, Rc::new(records)))
+                .collect(),
             all: Rc::new(all),
         }
     }
--- a/crates/gullspar_fleet/src/gossip.rs
+++ b/crates/gullspar_fleet/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Telling others what one knows, and noticing who has stopped answering.
+//! Gossip: exchanges member records with other instances and detects those that stop answering.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -8,25 +8,26 @@
 
 use crate::Fleet;
 
-/// One exchange in this many goes to an instance believed dead, so that two halves of a fleet that
-/// lost each other for an hour find together again without anybody's help.
-const REVIVE_EVERY: u64 = 10;
+/// One exchange in this many goes to an instance considered dead, so that the parts of a fleet merge again after a long
+/// partition.
+const DEAD_EVERY: u64 = 10;
 
 /// One exchange in this many goes to another data centre.
-const ABROAD_EVERY: u64 = 4;
+const REMOTE_EVERY: u64 = 4;
 
-/// How many others are asked to probe an instance that did not answer.
+/// How many other instances are asked to probe one that did not answer.
 const PROBES: usize = 2;
 
 impl Fleet {
+    /// Exchanges records with one instance per interval, and declares suspects dead. Never ends.
     pub(crate) async fn run_gossip(self: Rc<Self>) {
-        let mut round = self.borders.entropy.next_u64() % REVIVE_EVERY;
+        let mut round = self.borders.entropy.next_u64() % DEAD_EVERY;
         loop {
             let pause = jittered(&*self.borders.entropy, self.timing.gossip_interval);
             let next = self.borders.clock.now() + pause;
             round += 1;
             match self.pick(round) {
-                // A silent instance must not hold up the exchanges with the others.
+                // An instance that does not answer must not delay the exchanges with the others.
                 Some(other) => {
                     compio::runtime::spawn(Rc::clone(&self).exchange_with(other)).detach();
                 }
@@ -37,7 +38,7 @@
             let forget_at = now + self.timing.forget_dead_after;
             let dead = self.table.borrow_mut().expire(now, forget_at);
             for id in &dead {
-                log::warn!("G0202 instance {id} is declared dead");
+                log::warn!("G0202 instance {id} was declared dead");
             }
             if !dead.is_empty() {
                 self.notify();
@@ -45,10 +46,11 @@
         }
     }
 
+    /// Selects an instance for the exchange of this round: a dead one, one in another data centre, or a near one.
     fn pick(&self, round: u64) -> Option<InstanceRecord> {
         let own = self.own.borrow();
-        let revive = round.is_multiple_of(REVIVE_EVERY);
-        let abroad = round.is_multiple_of(ABROAD_EVERY);
+        let try_dead = round.is_multiple_of(DEAD_EVERY);
+        let remote = round.is_multiple_of(REMOTE_EVERY);
         let table = self.table.borrow();
         let others: Vec<&InstanceRecord> = table.all().filter(|it| it.id != own.id).collect();
         let live: Vec<&InstanceRecord> =
@@ -57,7 +59,7 @@
             others.iter().copied().filter(|it| it.state == InstanceState::Dead).collect();
         let (near, far): (Vec<&InstanceRecord>, Vec<&InstanceRecord>) =
             live.iter().partition(|it| it.data_centre == own.data_centre);
-        let pool = match (revive && !dead.is_empty(), abroad, near.is_empty(), far.is_empty()) {
+        let pool = match (try_dead && !dead.is_empty(), remote, near.is_empty(), far.is_empty()) {
             (true, ..) => dead,
             (_, true, _, false) | (_, _, true, false) => far,
             (_, _, false, _) => near,
@@ -67,6 +69,7 @@
         pool.get(index.checked_rem(pool.len())?).map(|it| (*it).clone())
     }
 
+    /// Exchanges records with `other`, and marks it as a suspect if neither this instance nor the probers get an answer.
     async fn exchange_with(self: Rc<Self>, other: InstanceRecord) {
         if self.exchange(other.peer).await || other.state == InstanceState::Dead {
             return;
@@ -76,22 +79,21 @@
             let req = PeerRequest::Probe { peer: other.peer };
             self.borders.peers.call(prober.peer, req, deadline)
         });
-        // A link broken on our side only must not declare a sound instance dead, so others are
-        // asked before the suspicion is spread.
-        let reached = futures::future::join_all(probes).await;
-        if reached.iter().any(|it| matches!(it, Ok(PeerReply::Probed { answered: true }))) {
+        // Others are asked first: a broken link of this instance alone must not make a healthy instance a suspect.
+        let replies = futures::future::join_all(probes).await;
+        if replies.iter().any(|it| matches!(it, Ok(PeerReply::Probed { answered: true }))) {
             return;
         }
-        // One that announced its leaving has left.
+        // An instance that announced its leaving has left.
         let leaving = other.state == InstanceState::Leaving;
         let state = if leaving { InstanceState::Dead } else { InstanceState::Suspect };
         let record = InstanceRecord { state, ..other };
-        if self.learn(&record, self.due_at(state)) {
-            log::info!("G0203 instance {} does not answer", record.id);
+        if self.merge(&record, self.due_at(state)) {
+            log::info!("G0203 instance {} did not answer", record.id);
         }
     }
 
-    /// When a record of this state is acted upon.
+    /// When a record of this state expires: a suspect is declared dead, a dead one removed.
     fn due_at(&self, state: InstanceState) -> Option<Instant> {
         let now = self.borders.clock.now();
         match state {
@@ -101,31 +103,32 @@
         }
     }
 
+    /// Instances chosen at random to probe `other`.
     fn probers(&self, other: &InstanceRecord) -> Vec<InstanceRecord> {
         let own = self.id();
         let table = self.table.borrow();
-        let mut able: Vec<&InstanceRecord> = table
+        let mut candidates: Vec<&InstanceRecord> = table
             .all()
             .filter(|it| it.id != own && it.id != other.id && it.state == InstanceState::Alive)
             .collect();
-        if !able.is_empty() {
-            let start = self.borders.entropy.next_u64() as usize % able.len();
-            able.rotate_left(start);
+        if !candidates.is_empty() {
+            let start = self.borders.entropy.next_u64() as usize % candidates.len();
+            candidates.rotate_left(start);
         }
-        able.into_iter().take(PROBES).cloned().collect()
+        candidates.into_iter().take(PROBES).cloned().collect()
     }
 
-    /// Exchanges news with the instance at `peer`; tells whether it answered.
+    /// Exchanges recent records with the instance at `peer`; returns whether it answered.
     async fn exchange(self: &Rc<Self>, peer: std::net::SocketAddr) -> bool {
         let req = {
-            let news = self.table.borrow_mut().news();
+            let news = self.table.borrow_mut().updates();
             let from = self.own.borrow().clone();
             PeerRequest::Exchange { from, news, config_digest: self.config.digest() }
         };
         let deadline = self.borders.clock.now() + self.timing.answer_timeout;
         let reply = self.borders.peers.call(peer, req, deadline).await;
         let Ok(PeerReply::Exchanged { from, news, config_digest }) = reply else { return false };
-        self.hear(&from, &news);
+        self.merge_records(&from, &news);
         if config_digest != self.config.digest() {
             self.pull_from(peer).await;
         }
@@ -139,13 +142,13 @@
         news: Vec<InstanceRecord>,
         config_digest: u64,
     ) -> PeerReply {
-        let stranger = self.table.borrow().get(&from.id).is_none();
-        self.hear(&from, &news);
-        let news = if stranger {
-            // A newcomer is told everything at once; waiting for gossip would take it minutes.
+        let is_unknown = self.table.borrow().get(&from.id).is_none();
+        self.merge_records(&from, &news);
+        let news = if is_unknown {
+            // A new instance gets all records at once; through gossip alone this would take minutes.
             self.instances()
         } else {
-            self.table.borrow_mut().news()
+            self.table.borrow_mut().updates()
         };
         if config_digest != self.config.digest() {
             let this = Rc::clone(self);
@@ -155,36 +158,37 @@
         PeerReply::Exchanged { from: own, news, config_digest: self.config.digest() }
     }
 
-    /// Probes a third instance on another's behalf.
+    /// Probes a third instance on behalf of another one.
     pub async fn answer_probe(self: Rc<Self>, peer: std::net::SocketAddr) -> PeerReply {
         PeerReply::Probed { answered: self.exchange(peer).await }
     }
 
-    fn hear(&self, from: &InstanceRecord, news: &[InstanceRecord]) {
-        self.learn(from, None);
-        self.heard_of_others.set(true);
+    /// Merges the sender's record and those that it sent.
+    fn merge_records(&self, from: &InstanceRecord, news: &[InstanceRecord]) {
+        self.merge(from, None);
+        self.has_contacted_others.set(true);
         for record in news {
             if record.id == self.id() {
-                self.object_to(record);
+                self.refute(record);
                 continue;
             }
-            self.learn(record, self.due_at(record.state));
+            self.merge(record, self.due_at(record.state));
         }
     }
 
-    /// Objects when others say something worse of this instance than it knows of itself.
-    fn object_to(&self, record: &InstanceRecord) {
+    /// Refutes a record of this instance with a worse state than its own, by announcing a higher incarnation.
+    fn refute(&self, record: &InstanceRecord) {
         let mut own = self.own.borrow_mut();
         if record.incarnation > own.incarnation
             || (record.incarnation == own.incarnation && record.state > own.state)
         {
             own.incarnation = record.incarnation + 1;
             let own = own.clone();
-            self.learn(&own, None);
+            self.merge(&own, None);
         }
     }
 
-    /// Asks the seeds for others, and the platform when no seed answers.
+    /// Contacts the seeds, and the instances listed by the platform if no seed answers.
     async fn join(self: Rc<Self>) {
         for seed in &self.seeds {
             if *seed != self.own.borrow().peer {
@@ -194,7 +198,7 @@
         if self.live_count() > 1 {
             return;
         }
-        // The platform's list may be old or out of reach; gossip brings the rest.
+        // The platform's list may be outdated or unavailable; gossip completes it.
         if let Ok(listed) = self.borders.platform.instances().await {
             for entry in listed.iter().filter(|it| it.id != self.id() && !it.leaving) {
                 self.exchange(entry.peer).await;
--- a/crates/gullspar_fleet/src/lib.rs
+++ b/crates/gullspar_fleet/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which instances there are, which of them holds which target, and the configuration they share.
+//! The member table of a fleet, the homes of targets, and the shared configuration.
 //!
-//! Membership spreads by gossip, see `docs/design/membership.md`; configuration goes from the
-//! platform through a few relays to all, see `docs/design/configuration.md`.
+//! Instances exchange member records by gossip, see `docs/design/membership.md`. A few relays forward the configuration
+//! from the platform to all instances, see `docs/design/configuration.md`.
 
 mod config_store;
 mod config_sync;
--- a/crates/gullspar_fleet/src/member_table.rs
+++ b/crates/gullspar_fleet/src/member_table.rs
@@ -1,38 +1,37 @@
-//! What this instance believes of the others.
+//! The member table: what this instance knows about all instances.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 use gullspar_model::{InstanceId, InstanceRecord, InstanceState};
 
-/// A belief about one instance.
+/// The latest record of one instance.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberEntry {
     pub(crate) record: InstanceRecord,
-    /// When a suspect is declared dead, or a dead one forgotten.
+    /// When a suspect is declared dead, or a dead instance removed.
     pub(crate) due_at: Option<Instant>,
-    /// How many more times the record is passed on.
-    pub(crate) passes_left: u32,
+    /// How many more times the record is sent to other instances.
+    pub(crate) sends_left: u32,
 }
 
-/// Beliefs about all instances that were ever heard of.
+/// The records of all known instances.
 #[derive(Debug, Default)]
 pub(crate) struct MemberTable {
     entries: BTreeMap<InstanceId, MemberEntry>,
-    /// Counts up whenever who takes work changes.
+    /// Increases with each change of a record.
     pub(crate) generation: u64,
 }
 
 impl MemberTable {
-    /// Most records in one message, so that messages stay small.
-    const NEWS_LIMIT: usize = 12;
+    /// Maximum number of records in one message.
+    const MAX_UPDATES: usize = 12;
 
-    /// Believes `record` if it is news; tells whether it was. At `due_at` a suspect is declared dead and
-    /// a dead one forgotten.
+    /// Stores `record` if it supersedes the known one; returns whether it did. At `due_at` a suspect is declared dead, or
+    /// a dead instance removed.
     ///
-    /// The death of one that is not known is no news: told on for ever, the dead of years would fill
-    /// the memory of all.
-    pub(crate) fn learn(&mut self, record: &InstanceRecord, due_at: Option<Instant>) -> bool {
+    /// A dead instance that is not known is ignored. Otherwise instances would send its record to each other forever.
+    pub(crate) fn merge(&mut self, record: &InstanceRecord, due_at: Option<Instant>) -> bool {
         let known = self.entries.get(&record.id);
         if known.is_none() && record.state == InstanceState::Dead {
             return false;
@@ -40,15 +39,15 @@
         if known.is_some_and(|it| !record.supersedes(&it.record)) {
             return false;
         }
-        let passes_left = self.passes();
-        let entry = MemberEntry { record: record.clone(), due_at, passes_left };
+        let sends_left = self.required_sends();
+        let entry = MemberEntry { record: record.clone(), due_at, sends_left };
         self.entries.insert(record.id.clone(), entry);
         self.generation += 1;
         true
     }
 
-    /// How often a record must be passed on for all to hear of it with near certainty.
-    fn passes(&self) -> u32 {
+    /// How many times a record must be sent so that it almost certainly reaches all instances.
+    fn required_sends(&self) -> u32 {
         3 * (usize::BITS - self.entries.len().leading_zeros()) + 3
     }
 
@@ -60,21 +59,23 @@
         self.entries.values().map(|it| &it.record)
     }
 
-    /// Records to pass on, those passed on least first.
-    pub(crate) fn news(&mut self) -> Vec<InstanceRecord> {
-        let mut hot: Vec<&mut MemberEntry> =
-            self.entries.values_mut().filter(|it| it.passes_left > 0).collect();
-        hot.sort_by_key(|it| std::cmp::Reverse(it.passes_left));
-        hot.truncate(MemberTable::NEWS_LIMIT);
-        hot.into_iter()
+    /// The records to send next, those sent least often first.
+    pub(crate) fn updates(&mut self) -> Vec<InstanceRecord> {
+        let mut pending: Vec<&mut MemberEntry> =
+            self.entries.values_mut().filter(|it| it.sends_left > 0).collect();
+        pending.sort_by_key(|it| std::cmp::Reverse(it.sends_left));
+        pending.truncate(MemberTable::MAX_UPDATES);
+        pending
+            .into_iter()
             .map(|it| {
-                it.passes_left -= 1;
+                it.sends_left -= 1;
                 it.record.clone()
             })
             .collect()
     }
 
-    /// Declares dead whoever stayed suspect for too long, and forgets who has been dead for long.
+    /// Declares suspects dead and removes dead instances whose time is due. Returns the instances declared dead; they are
+    /// removed at `forget_at`.
     pub(crate) fn expire(&mut self, now: Instant, forget_at: Instant) -> Vec<InstanceId> {
         let is_due = |it: &MemberEntry, state| {
             it.record.state == state && it.due_at.is_some_and(|at| at <= now)
@@ -85,7 +86,7 @@
             .map(|it| InstanceRecord { state: InstanceState::Dead, ..it.record.clone() })
             .collect();
         for record in &dead {
-            self.learn(record, Some(forget_at));
+            self.merge(record, Some(forget_at));
         }
         dead.into_iter().map(|it| it.id).collect()
     }
--- a/crates/gullspar_fleet/src/rank.rs
+++ b/crates/gullspar_fleet/src/rank.rs
@@ -1,9 +1,9 @@
-//! Rendezvous hashing: a ranking of instances for a key that all who know the same instances share.
+//! Rendezvous hashing: ranks instances for a key, equally on all instances with the same member table.
 
-/// The weight of `id` for `key`; the highest wins.
+/// The weight of `id` for `key`; the highest weight ranks first.
 ///
-/// The hash must be the same in all versions of the program that run side by side, so it is a named
-/// one and not the standard library's.
+/// The hash must be the same in all program versions that run at the same time. The standard library does not guarantee
+/// that for its own.
 pub fn weight(key: &str, id: &str) -> u64 {
     let mut hasher = xxhash_rust::xxh3::Xxh3::new();
     hasher.update(key.as_bytes());
--- a/crates/gullspar_fleet/src/timing.rs
+++ b/crates/gullspar_fleet/src/timing.rs
@@ -1,23 +1,23 @@
-//! How often instances talk to each other.
+//! Intervals and timeouts of gossip and of the watches on the platform.
 
 use std::time::Duration;
 
-/// The pace of membership; tests and benches set their own.
+/// Intervals and timeouts of a fleet.
 ///
-/// The defaults let a dead instance's targets be taken over within 2 s; what they cost is
-/// measured in `docs/CAPACITY.md`.
+/// With the defaults, another instance takes over the targets of a dead one within 2 s. `docs/CAPACITY.md` has the cost.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetTiming {
-    /// Between two gossip exchanges of an instance.
+    /// Time between two gossip exchanges of an instance.
     pub gossip_interval: Duration,
-    /// How long an exchange may take before the other one counts as silent.
+    /// How long an exchange may take before the other instance counts as silent.
     pub answer_timeout: Duration,
-    /// How long a suspect may object before it is declared dead.
+    /// How long a suspect can refute the suspicion before it is declared dead.
     pub suspect_timeout: Duration,
-    /// How long a dead instance is remembered, in case it is only out of reach.
+    /// How long a dead instance is remembered, in case it is only unreachable.
     pub forget_dead_after: Duration,
-    /// How long a platform watch waits while the platform answers. One that silence overtakes is given up 1.5 s later
-    /// and the platform is asked again at once, so that a configuration is in force within 6 s of its acceptance.
+    /// How long a watch on the platform waits for a change, if the platform answered the last call. If no answer comes, the
+    /// watch is given up 1.5 s later and repeated at once, so that a configuration is in force within 6 s of its
+    /// acceptance.
     pub watch_timeout: Duration,
 }
 
--- a/crates/gullspar_fleet/tests/silent_platform.rs
+++ b/crates/gullspar_fleet/tests/silent_platform.rs
@@ -1,4 +1,4 @@
-//! Following the platform's configuration through its silence.
+//! Tests that instances get the platform's configuration after the platform was silent.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -19,25 +19,25 @@
 use gullspar_net::{SystemClock, SystemEntropy};
 use test_case::test_case;
 
-/// When an accepted configuration has to be in force everywhere.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(6);
+/// Maximum time from the acceptance of a configuration until it is in force everywhere.
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(6);
 
-/// How long a call waits for its answer beside the waiting that a watch asks for, as the client of the platform does.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1500);
+/// How long a call waits for its answer in addition to the wait that a watch requests, as in the platform's client.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a test waits for a call that is bound to come.
-const CALL_WITHIN: Duration = Duration::from_secs(20);
+/// How long a test waits for an event that must happen.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 const KEY: &str = "gullspar/groups/core";
 
-/// A platform with one object, that can swallow calls.
+/// A platform with one object that can stop answering.
 #[derive(Default)]
 struct FakePlatform {
     revision: Cell<u64>,
     silent: Cell<bool>,
-    swallowed: Cell<usize>,
+    unanswered: Cell<usize>,
 }
 
 impl FakePlatform {
@@ -51,16 +51,16 @@
         WatchReply { revision, changed: if revision > since { vec![object] } else { Vec::new() } }
     }
 
-    async fn watched(&self, since: u64, wait: Duration) -> Result<WatchReply, PlatformError> {
+    async fn answer_watch(&self, since: u64, wait: Duration) -> Result<WatchReply, PlatformError> {
         let sent = Instant::now();
         while !self.silent.get() {
             if self.revision.get() > since || sent.elapsed() >= wait {
                 return Ok(self.reply(since));
             }
-            compio::time::sleep(LOOK_EVERY).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
-        self.swallowed.set(self.swallowed.get() + 1);
-        compio::time::sleep((wait + ANSWER_WITHIN).saturating_sub(sent.elapsed())).await;
+        self.unanswered.set(self.unanswered.get() + 1);
+        compio::time::sleep((wait + ANSWER_TIMEOUT).saturating_sub(sent.elapsed())).await;
         Err(PlatformError::NoAnswer("the deadline passed".to_owned()))
     }
 }
@@ -79,7 +79,7 @@
         _expected: ObjectVersion,
         _value: String,
     ) -> LocalBoxFuture<'a, Result<ObjectVersion, PlatformError>> {
-        async { Err(PlatformError::Refused("nobody writes here".to_owned())) }.boxed_local()
+        async { Err(PlatformError::Refused("this platform is read-only".to_owned())) }.boxed_local()
     }
 
     fn watch<'a>(
@@ -88,7 +88,7 @@
         revision: u64,
         wait_ms: u64,
     ) -> LocalBoxFuture<'a, Result<WatchReply, PlatformError>> {
-        self.watched(revision, Duration::from_millis(wait_ms)).boxed_local()
+        self.answer_watch(revision, Duration::from_millis(wait_ms)).boxed_local()
     }
 
     fn instances(&self) -> LocalBoxFuture<'_, Result<Vec<PlatformInstance>, PlatformError>> {
@@ -96,21 +96,21 @@
     }
 }
 
-/// Nobody else is there.
-struct Nobody;
+/// No other instance and no target is reachable.
+struct NoPeers;
 
-impl Peers for Nobody {
+impl Peers for NoPeers {
     fn call(
         &self,
         _to: SocketAddr,
         _req: PeerRequest,
         _deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<PeerReply, PeerError>> {
-        async { Err(PeerError::NoAnswer("nobody is there".to_owned())) }.boxed_local()
+        async { Err(PeerError::NoAnswer("there are no other instances".to_owned())) }.boxed_local()
     }
 }
 
-impl Dialer for Nobody {
+impl Dialer for NoPeers {
     fn dial(
         &self,
         _address: SocketAddr,
@@ -133,24 +133,22 @@
     let borders = Borders {
         clock: Rc::new(SystemClock),
         entropy: Rc::new(SystemEntropy),
-        dialer: Rc::new(Nobody),
-        peers: Rc::new(Nobody),
+        dialer: Rc::new(NoPeers),
+        peers: Rc::new(NoPeers),
         platform,
     };
     Fleet::new(own, Vec::new(), borders, FleetTiming::default())
 }
 
-async fn until(deadline: Instant, what: &str, reached: impl Fn() -> bool) {
-    while !reached() {
+async fn wait_until(deadline: Instant, what: &str, is_reached: impl Fn() -> bool) {
+    while !is_reached() {
         assert!(Instant::now() < deadline, "{what}");
-        compio::time::sleep(LOOK_EVERY).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Symptom: a configuration that the platform has accepted is in force in a data centre only after eleven seconds.
-/// Events: the platform falls silent and returns; its relays there sent it a watch before, or meanwhile, that is
-/// never answered; it accepts a configuration, and no relay asks for it.
-/// Cause: a platform of which nobody knows whether it answers was asked to hold its answer back for ten seconds.
+/// Guards against a configuration that is in force too late because a watch that the silent platform never answers
+/// blocks the next one for too long.
 #[test_case(1; "the watch that waited when silence began")]
 #[test_case(2; "the first call into the silence")]
 fn a_configuration_is_in_force_in_time_after_the_platform_was_silent(calls: usize) {
@@ -159,14 +157,20 @@
         let fleet = fleet(Rc::clone(&platform));
         let running = compio::runtime::spawn(Rc::clone(&fleet).run());
         let version = || fleet.config.version(KEY).0;
-        until(Instant::now() + CALL_WITHIN, "the first one is in force", || version() == 1).await;
+        wait_until(Instant::now() + CALL_TIMEOUT, "the first one is in force", || version() == 1)
+            .await;
         platform.silent.set(true);
-        let swallowed = || platform.swallowed.get() >= calls;
-        until(Instant::now() + CALL_WITHIN, "the silent platform is asked", swallowed).await;
+        let has_unanswered_calls = || platform.unanswered.get() >= calls;
+        wait_until(
+            Instant::now() + CALL_TIMEOUT,
+            "the silent platform is asked",
+            has_unanswered_calls,
+        )
+        .await;
         platform.silent.set(false);
         platform.revision.set(2);
-        let deadline = Instant::now() + IN_FORCE_WITHIN;
-        until(deadline, "the configuration is in force", || version() == 2).await;
+        let deadline = Instant::now() + MAX_PROPAGATION_DELAY;
+        wait_until(deadline, "the configuration is in force", || version() == 2).await;
         drop(running);
     });
 }
