--- a/crates/gullspar_direct/src/configuration/mod.rs
+++ b/crates/gullspar_direct/src/configuration/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration and the list of targets that this instance goes by, and where they come from.
+//! The configuration and the list of targets in force, and where they come from.
 
 pub(crate) mod catalogue;
 pub(crate) mod directory;
-pub(crate) mod news_source;
 pub(crate) mod snapshot;
 pub(crate) mod store_contact;
+pub(crate) mod update_source;
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -11,13 +11,13 @@
 use crate::fleet::homes::Allowance;
 use crate::groups::failover;
 use crate::groups::group::Group;
-use crate::proxy::SETTLE;
-use crate::stats::Levels;
+use crate::proxy::SETTLE_PERIOD;
+use crate::stats::GaugeValues;
 use crate::targets::admission_limit::connection_share;
 use crate::targets::pacing;
 use crate::targets::target::Target;
 use crate::targets::target_watch;
-use crate::{CutOff, Member, Phase, Proxy};
+use crate::{Member, PartitionState, Phase, Proxy};
 
 /// How long a group is served for a session that was handed on to an instance that is not its home.
 const HOLD_FOR: Duration = Duration::from_secs(10);
@@ -70,7 +70,7 @@
 
     pub(crate) fn tend_target(&self, spec: Rc<TargetSpec>, allowance: Allowance, holders: usize) {
         let group = self.group_or_new(&spec.group);
-        if group.target(&spec.member).is_some_and(|it| it.spec().is_started_anew(&spec)) {
+        if group.target(&spec.member).is_some_and(|it| it.spec().is_restarted_in(&spec)) {
             log::info!(member = spec.member.as_str(), group = spec.group.as_str(); "G0758 a target has started anew");
             group.remove(&spec.member);
             group.does_not_lead(&spec.member, self.borders.clock.now());
@@ -101,7 +101,7 @@
 
     /// When a target that is learnt now to leave gets no new work any more; `None` for one that stays.
     fn work_ends_at(&self, spec: &TargetSpec) -> Option<BootInstant> {
-        let ends_at = self.borders.clock.boot_now().plus(self.own.leaving_serves);
+        let ends_at = self.borders.clock.boot_now().plus(self.own.leaving_target_timeout);
         spec.leaving.then_some(ends_at)
     }
 
@@ -111,7 +111,7 @@
     /// on a session before this one knows that it is; refused, its callers would find no one.
     pub(crate) fn hold(&self, group: &GroupName) {
         let until = self.borders.clock.now() + HOLD_FOR;
-        self.held.borrow_mut().insert(group.clone(), until);
+        self.forwarded_groups.borrow_mut().insert(group.clone(), until);
         if self.group(group).is_none() {
             self.tend_groups();
         }
@@ -119,7 +119,7 @@
 
     pub(crate) fn is_held(&self, group: &GroupName) -> bool {
         let now = self.borders.clock.now();
-        self.held.borrow().get(group).is_some_and(|until| now < *until)
+        self.forwarded_groups.borrow().get(group).is_some_and(|until| now < *until)
     }
 
     /// What each target of `group` allows; `None` if the configuration does not name the group.
@@ -207,19 +207,19 @@
             peers: Rc::clone(&self.peers),
             group: Rc::clone(&group),
             shutdown: Rc::clone(&self.shutdown),
-            settle_until: self.started + SETTLE,
+            settle_until: self.started + SETTLE_PERIOD,
         };
         compio::runtime::spawn(keeper.run()).detach();
         group
     }
 
-    pub(crate) fn levels(&self) -> Levels {
+    pub(crate) fn gauge_values(&self) -> GaugeValues {
         let groups = self.groups();
-        let leaderless = groups.len() - self.led_groups();
-        Levels {
+        let leaderless = groups.len() - self.reachable_leaders();
+        GaugeValues {
             sessions: self.shutdown.sessions() as u64,
             configuration: self.directory.version(),
-            cut_off: self.shutdown.cut_off() != CutOff::No,
+            is_partitioned: self.shutdown.partition_state() != PartitionState::Connected,
             leaderless: leaderless as u64,
             instances: 1 + self.peers.running() as u64,
             store_silent_ms: self.store_silent_for().map(|it| it.as_millis() as u64),
--- a/crates/gullspar_direct/src/lib.rs
+++ b/crates/gullspar_direct/src/lib.rs
@@ -1,7 +1,7 @@
-//! Serving statements over connections that each instance opens to the targets itself.
+//! Serves statements over connections that each instance opens to the targets itself.
 //!
-//! Routing, freshness, queueing, retries, failover, configuration and shutdown live here; what callers,
-//! targets and the platform speak is behind borders. See `docs/design/platform.md`.
+//! This crate implements routing, freshness, queueing, retries, failover, configuration and shutdown. The protocols of
+//! callers, targets and the platform are behind the traits in [`Borders`]. See `docs/design/platform.md`.
 
 mod borders;
 mod configuration;
@@ -30,13 +30,13 @@
 pub use groups::group::{Group, Leader};
 pub use groups::votes::{Ballot, Verdict};
 pub use gullspar_membership::Member;
-pub use proxy::{Identity, Proxy, ROTATION};
+pub use proxy::{Identity, Proxy, ROTATION_DELAY};
 pub use reading::freshness::Freshness;
 pub use reading::readings::{Reading, Readings};
 pub use session::caller_opening::{serve_caller, serve_relayed_caller};
-pub use session::handed_on::HandedOn;
+pub use session::forwarded_session::ForwardedSession;
 pub use session::relay::{HomeLink, RelayMessage, RelayReply};
 pub use session::session_values::SessionValues;
-pub use session::shutdown::{CutOff, Phase, Shutdown};
+pub use session::shutdown::{PartitionState, Phase, Shutdown};
 pub use stats::Stats;
 pub use targets::pacing::{Share, rest_after};
--- a/crates/gullspar_direct/src/session/caller_opening.rs
+++ b/crates/gullspar_direct/src/session/caller_opening.rs
@@ -1,4 +1,4 @@
-//! The opening of a caller's session: which service it wants, and which instance serves it.
+//! Opens a caller's session: checks the service and the key, and chooses the instance that serves it.
 
 use std::rc::Rc;
 
@@ -11,74 +11,81 @@
 use crate::session::opening::Opening;
 use crate::session::refusal;
 use crate::session::relay::{self, Relay};
-use crate::{HandedOn, Member, Proxy, Route};
+use crate::{ForwardedSession, Member, Proxy, Route};
 
-/// Serves one caller until it leaves or the instance ends.
+/// Serves one caller until it disconnects or the instance shuts down.
 pub async fn serve_caller(proxy: Rc<Proxy>, link: Box<dyn CallerLink>) {
     serve(proxy, link, None).await;
 }
 
-/// Serves a caller that another instance has handed on, here and nowhere else.
+/// Serves a caller whose session another instance has forwarded; it is not forwarded again.
 pub async fn serve_relayed_caller(
     proxy: Rc<Proxy>,
     link: Box<dyn CallerLink>,
-    handed_on: HandedOn,
+    forwarded: ForwardedSession,
 ) {
-    serve(proxy, link, Some(handed_on)).await;
+    serve(proxy, link, Some(forwarded)).await;
 }
 
-async fn serve(proxy: Rc<Proxy>, link: Box<dyn CallerLink>, handed_on: Option<HandedOn>) {
+async fn serve(proxy: Rc<Proxy>, link: Box<dyn CallerLink>, forwarded: Option<ForwardedSession>) {
     proxy.shutdown.session_opened();
-    if let Err(err) = open(&proxy, link, handed_on).await {
-        log::debug!(reason = err.to_string().as_str(); "G0728 a caller's session broke off");
+    if let Err(err) = open(&proxy, link, forwarded).await {
+        log::debug!(reason = err.to_string().as_str(); "G0728 a caller's session ended with an error");
     }
     proxy.shutdown.session_closed();
 }
 
-/// Reads which service the caller wants, and serves it here or hands it on.
+/// Reads the opening message, then serves the session here or forwards it.
 async fn open(
     proxy: &Rc<Proxy>,
     mut link: Box<dyn CallerLink>,
-    handed_on: Option<HandedOn>,
+    forwarded: Option<ForwardedSession>,
 ) -> Result<(), CallerLinkError> {
     let opening = link.next().await?;
     proxy.discovery.wait().await;
     let failure = match opening {
         Some(CallerMessage::Open { service, key }) => {
             let opening = Opening { service, key };
-            match agree(proxy, &opening, handed_on.as_ref()).await {
-                Ok(Agreed { route, customer }) => {
-                    return serve_opened(proxy, link, opening, route, customer, handed_on).await;
+            match admit(proxy, &opening, forwarded.as_ref()).await {
+                Ok(Admitted { route, customer }) => {
+                    return serve_opened(proxy, link, opening, route, customer, forwarded).await;
                 }
                 Err(answer) => return link.reply(&answer).await,
             }
         }
-        Some(_) => Failure::new(FailureCode::Malformed, "a session begins by opening a service"),
+        Some(_) => Failure::new(
+            FailureCode::Malformed,
+            "the first message of a session must open a service",
+        ),
         None => {
-            log::debug!("G0729 a caller did not open a session");
+            log::debug!("G0729 a caller disconnected without opening a session");
             return Ok(());
         }
     };
     link.reply(&Answer::failed(failure, TransactionStatus::Idle)).await
 }
 
-/// Whose session it is, and how it is served.
-struct Agreed {
+/// The route and the customer of an admitted session.
+struct Admitted {
     route: Route,
     customer: Option<CustomerName>,
 }
 
-/// Decides whether the caller may open the session; gives the answer to it if not.
-async fn agree(
+/// Checks whether the caller may open the session.
+///
+/// # Errors
+///
+/// Fails with the answer that refuses the session.
+async fn admit(
     proxy: &Rc<Proxy>,
     opening: &Opening,
-    handed_on: Option<&HandedOn>,
-) -> Result<Agreed, Answer> {
+    forwarded: Option<&ForwardedSession>,
+) -> Result<Admitted, Answer> {
     let refused = |failure| Answer::failed(failure, TransactionStatus::Idle);
-    if let Some(sender) = handed_on
-        && !proxy.catches_up(opening, sender).await
+    if let Some(sender) = forwarded
+        && !proxy.wait_until_caught_up(opening, sender).await
     {
-        // Whoever handed it on tries another one.
+        // The instance that forwarded the session tries another home.
         return Err(relay::no_home());
     }
     let Some(catalogue) = proxy.directory.catalogue() else {
@@ -86,7 +93,7 @@
     };
     let service = &opening.service;
     let Some(route) = catalogue.routes.get(service).cloned() else {
-        log::info!(service = service.as_str(), version = catalogue.version; "G0730 a caller asked for a service that is not there");
+        log::info!(service = service.as_str(), version = catalogue.version; "G0730 a caller asked for an unknown service");
         return Err(refused(no_such_service(service)));
     };
     let Ok(customer) = catalogue.identify(&route, opening.key.as_ref()) else {
@@ -94,45 +101,45 @@
         proxy.borders.stats.key_refused();
         return Err(refused(refusal::unknown_key()));
     };
-    if let Some(reason) = proxy.refuses_sessions(&route, handed_on.is_some()) {
-        log::info!(service = service.as_str(), reason = reason.text(); "G0764 a session is refused at its opening");
+    if let Some(reason) = proxy.session_refusal(&route, forwarded.is_some()) {
+        log::info!(service = service.as_str(), reason = reason.text(); "G0764 a session was refused when it was opened");
         return Err(refused(refusal::not_run(reason)));
     }
-    Ok(Agreed { route, customer })
+    Ok(Admitted { route, customer })
 }
 
-/// Serves the session here, or hands it on.
+/// Serves the session here or forwards it.
 async fn serve_opened(
     proxy: &Rc<Proxy>,
     mut link: Box<dyn CallerLink>,
     opening: Opening,
     route: Route,
     customer: Option<CustomerName>,
-    handed_on: Option<HandedOn>,
+    forwarded: Option<ForwardedSession>,
 ) -> Result<(), CallerLinkError> {
     let ways = proxy.ways_around(&route.group);
-    if handed_on.is_some() {
+    if forwarded.is_some() {
         proxy.hold(&route.group);
         if ways.is_some() {
             return link.reply(&relay::no_home()).await;
         }
-        return Session::serve_to_end(proxy, link, opening, customer).await;
+        return Session::serve_session(proxy, link, opening, customer).await;
     }
     match proxy.other_homes(&route.group).or(ways) {
-        Some(homes) => hand_on(proxy, link, opening, route.group, &homes).await,
-        None => Session::serve_to_end(proxy, link, opening, customer).await,
+        Some(homes) => forward(proxy, link, opening, route.group, &homes).await,
+        None => Session::serve_session(proxy, link, opening, customer).await,
     }
 }
 
-async fn hand_on(
+async fn forward(
     proxy: &Rc<Proxy>,
     mut link: Box<dyn CallerLink>,
     opening: Opening,
     group: GroupName,
     homes: &[Member],
 ) -> Result<(), CallerLinkError> {
-    let handed_on = HandedOn { catalogue_version: proxy.directory.version(), group };
-    let Some((opened, home)) = relay::open(proxy, homes, &opening, &handed_on).await else {
+    let forwarded = ForwardedSession { catalogue_version: proxy.directory.version(), group };
+    let Some((opened, home)) = relay::open(proxy, homes, &opening, &forwarded).await else {
         return link.reply(&relay::no_home()).await;
     };
     link.reply(&opened).await?;
--- a/crates/gullspar_direct/src/session/mod.rs
+++ b/crates/gullspar_direct/src/session/mod.rs
@@ -1,8 +1,8 @@
-//! Callers' sessions: how they open, where they are served, and how they end.
+//! Callers' sessions: opening, serving, forwarding to other instances, and closing.
 
 pub(crate) mod caller_opening;
 pub(crate) mod caller_session;
-pub(crate) mod handed_on;
+pub(crate) mod forwarded_session;
 pub(crate) mod opening;
 pub(crate) mod refusal;
 pub(crate) mod relay;
--- a/crates/gullspar_direct/src/session/shutdown.rs
+++ b/crates/gullspar_direct/src/session/shutdown.rs
@@ -1,14 +1,14 @@
-//! The steps of ending an instance without cutting off a request.
+//! The phases of a shutdown that interrupts no request.
 
 use std::cell::Cell;
 
 use event_listener::{Event, EventListener};
 
-/// How far the end of the instance has come.
+/// The phase of the instance's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     Serving,
-    /// No new callers are sent here; those that come are served.
+    /// The instance reports that it is not ready; callers that still connect are served.
     Unready,
     /// Sessions without a transaction are closed between statements.
     ClosingIdle,
@@ -16,19 +16,19 @@
     ClosingAll,
 }
 
-/// Whether the instance is cut off from what it needs to serve callers.
+/// Whether a network partition keeps the instance from serving callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutOff {
-    No,
-    /// Callers may still be sent here.
-    Yes,
-    /// Whoever is sent away comes to another instance.
+pub enum PartitionState {
+    Connected,
+    /// The load balancer may still send callers here.
+    Partitioned,
+    /// The load balancer sends new connections to other instances.
     OutOfRotation,
 }
 
-/// The phase, and news of it.
+/// The shutdown phase and the partition state, with notification of their changes.
 pub struct Shutdown {
-    cut_off: Cell<CutOff>,
+    partition_state: Cell<PartitionState>,
     phase: Cell<Phase>,
     changed: Event,
     sessions: Cell<usize>,
@@ -37,7 +37,7 @@
 impl Default for Shutdown {
     fn default() -> Shutdown {
         Shutdown {
-            cut_off: Cell::new(CutOff::No),
+            partition_state: Cell::new(PartitionState::Connected),
             phase: Cell::new(Phase::Serving),
             changed: Event::new(),
             sessions: Cell::new(0),
@@ -46,44 +46,45 @@
 }
 
 impl Shutdown {
-    /// How far it is.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Goes on to `phase`.
+    /// Enters `phase` and notifies all sessions.
     pub fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.changed.notify(usize::MAX);
     }
 
-    /// Whether the instance is cut off.
-    pub fn cut_off(&self) -> CutOff {
-        self.cut_off.get()
+    /// Whether the instance is partitioned.
+    pub fn partition_state(&self) -> PartitionState {
+        self.partition_state.get()
     }
 
-    pub(crate) fn set_cut_off(&self, cut_off: CutOff) {
-        if self.cut_off.replace(cut_off) != cut_off {
+    pub(crate) fn set_partition_state(&self, state: PartitionState) {
+        if self.partition_state.replace(state) != state {
             self.changed.notify(usize::MAX);
         }
     }
 
-    /// Has all sessions look whether they should end.
+    /// Makes all sessions check whether they should end.
     pub(crate) fn notify(&self) {
         self.changed.notify(usize::MAX);
     }
 
-    /// Whether sessions without a transaction are to connect elsewhere.
-    pub(crate) fn sheds_idle(&self) -> bool {
-        self.phase.get() >= Phase::ClosingIdle || self.cut_off.get() == CutOff::OutOfRotation
+    /// Whether sessions without a transaction should be closed, so that their callers connect to other instances.
+    pub(crate) fn should_close_idle(&self) -> bool {
+        self.phase.get() >= Phase::ClosingIdle
+            || self.partition_state.get() == PartitionState::OutOfRotation
     }
 
-    /// Notified at each step; take it before reading the phase.
+    /// Notified at each change. Call it before reading the phase, so that no change is missed.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// Sessions that are open.
+    /// The number of open sessions.
     pub fn sessions(&self) -> usize {
         self.sessions.get()
     }
@@ -92,7 +93,7 @@
         self.sessions.set(self.sessions.get() + 1);
     }
 
-    /// Wakes nobody: all other sessions would look whether they should end, each time that one does.
+    /// Does not notify: otherwise each session that ends would wake all the others.
     pub(crate) fn session_closed(&self) {
         self.sessions.set(self.sessions.get() - 1);
     }
