--- a/crates/gullspar_direct/src/fleet/heartbeat.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeat.rs
@@ -5,7 +5,7 @@
 use gullspar_membership::{Gossip, Member};
 use gullspar_model::{GroupName, InstanceId, MemberName, Revision, record};
 
-use crate::ClaimNote;
+use crate::ClaimReport;
 
 record! {
     /// How an instance sees the leader of a group.
@@ -29,7 +29,7 @@
         pub leader: Option<MemberName>,
         pub health: LeaderHealth,
         /// The newest claim that the sender knows.
-        pub claim: Option<ClaimNote>,
+        pub claim: Option<ClaimReport>,
     }
 }
 
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -144,7 +144,7 @@
         let now = self.borders.clock.boot_now();
         for view in &heartbeat.views {
             if let (Some(claim), Some(group)) = (&view.claim, self.group(&view.group)) {
-                group.claims().take(claim, heartbeat.from(), now);
+                group.claims().apply_report(claim, heartbeat.from(), now);
             }
         }
         let (address, gossip) = (heartbeat.address(), heartbeat.gossip.clone());
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -201,7 +201,7 @@
         }
         let group = Group::new(name.clone(), self.borders.clock.now(), self.own.claim_lease);
         self.groups.borrow_mut().insert(name.clone(), Rc::clone(&group));
-        let keeper = failover::Keeper {
+        let coordinator = failover::FailoverCoordinator {
             borders: self.borders.clone(),
             own: self.own.id.clone(),
             peers: Rc::clone(&self.peers),
@@ -209,7 +209,7 @@
             shutdown: Rc::clone(&self.shutdown),
             settle_until: self.started + SETTLE,
         };
-        compio::runtime::spawn(keeper.run()).detach();
+        compio::runtime::spawn(coordinator.run()).detach();
         group
     }
 
--- a/crates/gullspar_direct/src/groups/claim_book.rs
+++ b/crates/gullspar_direct/src/groups/claim_tracker.rs
@@ -9,7 +9,7 @@
 
 record! {
     /// What instances tell each other of the newest claim they know.
-    pub struct ClaimNote {
+    pub struct ClaimReport {
         pub token: FencingToken,
         pub holder: InstanceId,
         /// How long ago its holder acted, in milliseconds. A note that is read late makes the claim look
@@ -20,7 +20,7 @@
 
 /// The newest claim that an instance knows of one group.
 #[derive(Clone, Debug)]
-pub struct ClaimBook {
+pub struct ClaimTracker {
     lease: Duration,
     newest: Option<Known>,
     /// The holder before the newest, which may still be alone.
@@ -36,24 +36,24 @@
     acted_at: BootInstant,
 }
 
-impl ClaimBook {
+impl ClaimTracker {
     /// An empty book; a holder that lives is alone for `lease` after it acted.
-    pub fn new(lease: Duration) -> ClaimBook {
-        ClaimBook { lease, newest: None, before: None }
+    pub fn new(lease: Duration) -> ClaimTracker {
+        ClaimTracker { lease, newest: None, before: None }
     }
 
     /// Notes that the claim stands in the store, seen at `at`.
     ///
     /// One that is new here may have been made just now. One that is known says nothing of what its holder does:
     /// taken for an act of it, each look of the others would make it alone again for as long as it lives.
-    pub fn saw(&mut self, token: FencingToken, holder: InstanceId, at: BootInstant) {
+    pub fn record_observed(&mut self, token: FencingToken, holder: InstanceId, at: BootInstant) {
         if self.newest.as_ref().is_none_or(|it| it.token < token) {
-            self.note(token, holder, at);
+            self.record_act(token, holder, at);
         }
     }
 
     /// Notes that `holder` acted with `token` at `at`.
-    pub fn note(&mut self, token: FencingToken, holder: InstanceId, at: BootInstant) {
+    pub fn record_act(&mut self, token: FencingToken, holder: InstanceId, at: BootInstant) {
         match &mut self.newest {
             Some(known) if known.token > token => {}
             Some(known) if known.token == token => known.acted_at = known.acted_at.max(at),
@@ -73,23 +73,23 @@
     ///
     /// Of a claim that is known here, only its holder tells when it acted last: passed on by others, a note grows
     /// younger with each delay on its way.
-    pub fn take(&mut self, note: &ClaimNote, from: &InstanceId, now: BootInstant) {
+    pub fn apply_report(&mut self, note: &ClaimReport, from: &InstanceId, now: BootInstant) {
         let known = self.newest.as_ref().is_some_and(|it| it.token >= note.token);
         if !known || note.holder == *from {
             let acted_at = now.minus(Duration::from_millis(note.age_ms));
-            self.note(note.token, note.holder.clone(), acted_at);
+            self.record_act(note.token, note.holder.clone(), acted_at);
         }
     }
 
     /// What to tell others at `now`.
-    pub fn to_tell(&self, now: BootInstant) -> Option<ClaimNote> {
+    pub fn report(&self, now: BootInstant) -> Option<ClaimReport> {
         let known = self.newest.as_ref()?;
         let age_ms = now.since(known.acted_at).as_millis() as u64;
-        Some(ClaimNote { token: known.token, holder: known.holder.clone(), age_ms })
+        Some(ClaimReport { token: known.token, holder: known.holder.clone(), age_ms })
     }
 
     /// Whether anybody acted after `at`.
-    pub fn acted_after(&self, at: BootInstant) -> bool {
+    pub fn has_act_after(&self, at: BootInstant) -> bool {
         self.newest.as_ref().is_some_and(|it| it.acted_at > at)
     }
 
@@ -103,7 +103,7 @@
     /// Two instances that promote by turns would each undo what the other began, seen as a group that
     /// changes its leader several times in a few seconds. So the last holder goes on alone for a
     /// while, unless it is gone.
-    pub fn may_act(
+    pub fn can_act(
         &self,
         own: &InstanceId,
         now: BootInstant,
--- a/crates/gullspar_direct/src/groups/claims.rs
+++ b/crates/gullspar_direct/src/groups/claims.rs
@@ -23,7 +23,7 @@
 
 /// The claim that stands for a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StandingClaim {
+pub struct CurrentClaim {
     pub token: FencingToken,
     /// `None` if another writer has put something there that is no claim; it can be claimed over.
     pub claim: Option<Claim>,
@@ -51,10 +51,10 @@
 /// Claims in the platform's store, one for each group.
 pub trait Claims {
     /// The claim that stands for `group`.
-    fn standing<'a>(
+    fn current<'a>(
         &'a self,
         group: &'a GroupName,
-    ) -> LocalBoxFuture<'a, Result<Option<StandingClaim>, ClaimError>>;
+    ) -> LocalBoxFuture<'a, Result<Option<CurrentClaim>, ClaimError>>;
 
     /// Replaces the claim with token `over`, or makes the first one; gives the new token.
     fn claim<'a>(
--- a/crates/gullspar_direct/src/groups/failover.rs
+++ b/crates/gullspar_direct/src/groups/failover.rs
@@ -13,8 +13,8 @@
 };
 use crate::groups::group::Group;
 use crate::{
-    Ballot, Borders, Claim, ClaimError, FencingToken, PeerTable, Phase, PromoteError, Shutdown,
-    Verdict,
+    Borders, Claim, ClaimError, FencingToken, PeerTable, Phase, PromoteError, Shutdown, Verdict,
+    VoteTally,
 };
 
 /// Why a group needs another leader.
@@ -31,7 +31,7 @@
 }
 
 /// Watches over one group's leadership.
-pub(crate) struct Keeper {
+pub(crate) struct FailoverCoordinator {
     pub(crate) borders: Borders,
     pub(crate) own: InstanceId,
     pub(crate) peers: Rc<PeerTable>,
@@ -41,7 +41,7 @@
     pub(crate) settle_until: Instant,
 }
 
-impl Keeper {
+impl FailoverCoordinator {
     /// Looks and acts until the process ends.
     pub(crate) async fn run(self) {
         let clock = Rc::clone(&self.borders.clock);
@@ -99,7 +99,7 @@
 
     fn agreed(&self, leader: Option<&MemberName>) -> bool {
         let now = self.borders.clock.boot_now();
-        let ballot = Ballot {
+        let ballot = VoteTally {
             counted: self.peers.views.counted_for(&self.group.name, now),
             against: 1 + self.peers.views.see_no_leader(&self.group.name, leader, now),
         };
@@ -110,7 +110,7 @@
     fn may_act(&self) -> bool {
         let now = self.borders.clock.boot_now();
         // One on its way out may be in the middle of a promotion as well.
-        self.group.claims().may_act(&self.own, now, |it| self.peers.is_running(it, now))
+        self.group.claims().can_act(&self.own, now, |it| self.peers.is_running(it, now))
     }
 
     /// This instance's place in the order in which instances act for this group: whoever acted last
@@ -128,7 +128,7 @@
 
     async fn replace(&self, cause: Cause, began: Instant) {
         let clock = Rc::clone(&self.borders.clock);
-        let standing = match self.borders.claims.standing(&self.group.name).await {
+        let standing = match self.borders.claims.current(&self.group.name).await {
             Ok(standing) => standing,
             Err(err) => return self.failed("reading the claim", &err.to_string()).await,
         };
@@ -139,7 +139,7 @@
         };
         let over = standing.as_ref().map(|it| it.token);
         if let (Some(token), Some(claim)) = (over, before) {
-            self.group.claims().saw(token, claim.holder.clone(), clock.boot_now());
+            self.group.claims().record_observed(token, claim.holder.clone(), clock.boot_now());
             if !self.may_act() {
                 log::info!(group = self.group.name.as_str(), holder = claim.holder.as_str(), token = token.0; "G0761 an instance that lives holds the claim; it is waited for");
                 return;
@@ -201,7 +201,7 @@
 
     /// Notes that this instance acts with `token`; told to the others, who wait for a while after each act.
     fn note_act(&self, token: FencingToken) {
-        self.group.claims().note(token, self.own.clone(), self.borders.clock.boot_now());
+        self.group.claims().record_act(token, self.own.clone(), self.borders.clock.boot_now());
     }
 
     /// Counts the commits that the old leader acknowledged and its successor was not seen to have.
@@ -224,7 +224,7 @@
                 self.wait_for_any().await;
                 None
             }
-            Err(ClaimError::NoAnswer(_)) => match self.borders.claims.standing(name).await {
+            Err(ClaimError::NoAnswer(_)) => match self.borders.claims.current(name).await {
                 Ok(Some(found)) if found.claim.as_ref() == Some(claim) => Some(found.token),
                 Ok(_) => None,
                 Err(err) => {
--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -11,7 +11,7 @@
 
 use crate::groups::failover_timing;
 use crate::targets::target::Target;
-use crate::{ClaimBook, GroupView, LeaderHealth, Reading, Readings};
+use crate::{ClaimTracker, GroupView, LeaderHealth, Reading, Readings};
 
 /// Who leads, as it said itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     /// Since when no leader answered here, as far as was looked.
     leader_lacking_since: Cell<Option<Instant>>,
     readings: RefCell<Readings>,
-    claims: RefCell<ClaimBook>,
+    claims: RefCell<ClaimTracker>,
     /// How long a replica usually needs to have a commit, in microseconds.
     usual_lag_us: Cell<u64>,
     /// Until then replicas are taken to be too far behind for writes to wait for them.
@@ -60,7 +60,7 @@
             led_since: Cell::new(None),
             leader_lacking_since: Cell::new(None),
             readings: RefCell::default(),
-            claims: RefCell::new(ClaimBook::new(lease)),
+            claims: RefCell::new(ClaimTracker::new(lease)),
             usual_lag_us: Cell::new(0),
             lag_until: Cell::new(None),
             full_at: Cell::new(None),
@@ -234,7 +234,7 @@
     }
 
     /// What is known of the group's claims.
-    pub(crate) fn claims(&self) -> RefMut<'_, ClaimBook> {
+    pub(crate) fn claims(&self) -> RefMut<'_, ClaimTracker> {
         self.claims.borrow_mut()
     }
 
@@ -242,7 +242,7 @@
     pub(crate) fn is_being_replaced(&self, now: BootInstant) -> bool {
         let lately = now.minus(failover_timing::TAKES_EFFECT_WITHIN);
         let since = self.led_since.get().map_or(lately, |it| it.max(lately));
-        self.claims.borrow().acted_after(since)
+        self.claims.borrow().has_act_after(since)
     }
 
     /// What other instances are told of this group.
@@ -261,7 +261,7 @@
             None if now < settle_until => LeaderHealth::Unsure,
             None => LeaderHealth::NoLeader,
         };
-        let claim = self.claims.borrow().to_tell(boot_now);
+        let claim = self.claims.borrow().report(boot_now);
         GroupView { group: self.name.clone(), leader, health, claim }
     }
 
--- a/crates/gullspar_direct/src/groups/mod.rs
+++ b/crates/gullspar_direct/src/groups/mod.rs
@@ -1,7 +1,7 @@
 //! Groups of targets: who leads, and who is to lead next.
 
 pub(crate) mod candidate;
-pub(crate) mod claim_book;
+pub(crate) mod claim_tracker;
 pub(crate) mod claims;
 pub(crate) mod failover;
 pub(crate) mod failover_timing;
--- a/crates/gullspar_direct/src/groups/succession.rs
+++ b/crates/gullspar_direct/src/groups/succession.rs
@@ -10,11 +10,11 @@
 
 use crate::Claim;
 use crate::groups::candidate::Candidate;
-use crate::groups::failover::{Cause, Keeper};
+use crate::groups::failover::{Cause, FailoverCoordinator};
 use crate::groups::failover_timing::{ASK_WITHIN, CATCH_UP_WITHIN};
 use crate::targets::target::Target;
 
-impl Keeper {
+impl FailoverCoordinator {
     /// The member to promote: the one whose log reaches furthest.
     ///
     /// What the old leader acknowledged beyond that is lost, so a leader that is still there waits for
--- a/crates/gullspar_direct/src/groups/votes.rs
+++ b/crates/gullspar_direct/src/groups/votes.rs
@@ -2,7 +2,7 @@
 
 /// What the instances say of one group's leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ballot {
+pub struct VoteTally {
     /// Instances that count, this one included.
     pub counted: usize,
     /// Those of them that see no working leader, this one included.
@@ -18,7 +18,7 @@
     Wait,
 }
 
-impl Ballot {
+impl VoteTally {
     /// Replaces a leader that at least half of the instances can't use.
     ///
     /// One instance's view is not enough: an instance that is cut off or slow would move a healthy
--- a/crates/gullspar_direct/src/lib.rs
+++ b/crates/gullspar_direct/src/lib.rs
@@ -23,12 +23,12 @@
 pub use fleet::peer_message::PeerMessage;
 pub use fleet::peer_table::PeerTable;
 pub use fleet::registry::{Registry, RegistryError};
-pub use groups::claim_book::{ClaimBook, ClaimNote};
+pub use groups::claim_tracker::{ClaimReport, ClaimTracker};
 pub use groups::claims::{
-    Claim, ClaimError, Claims, FencingToken, PromoteError, Promoter, StandingClaim,
+    Claim, ClaimError, Claims, CurrentClaim, FencingToken, PromoteError, Promoter,
 };
 pub use groups::group::{Group, Leader};
-pub use groups::votes::{Ballot, Verdict};
+pub use groups::votes::{Verdict, VoteTally};
 pub use gullspar_membership::Member;
 pub use proxy::{Identity, Proxy, ROTATION};
 pub use reading::freshness::Freshness;
--- a/crates/gullspar_direct/tests/knowledge.rs
+++ b/crates/gullspar_direct/tests/knowledge.rs
@@ -6,7 +6,8 @@
 
 use gullspar_border::BootInstant;
 use gullspar_direct::{
-    Ballot, ClaimBook, ClaimNote, Directory, FencingToken, Reading, Readings, TargetList, Verdict,
+    ClaimReport, ClaimTracker, Directory, FencingToken, Reading, Readings, TargetList, Verdict,
+    VoteTally,
 };
 use gullspar_model::{InstanceId, LogPoint, Revision};
 use gullspar_statement::TargetSpec;
@@ -151,53 +152,53 @@
 #[test_case(8, 4, Verdict::Replace; "half")]
 #[test_case(9, 4, Verdict::Wait; "less than half")]
 fn a_leader_is_replaced_when_half_can_not_use_it(counted: usize, against: usize, verdict: Verdict) {
-    assert_eq!(Ballot { counted, against }.verdict(), verdict);
+    assert_eq!(VoteTally { counted, against }.verdict(), verdict);
 }
 
 /// Symptom: two instances promote in one group by turns.
 #[test]
 fn the_last_holder_is_alone_while_it_lives() {
-    let mut book = ClaimBook::new(Duration::from_secs(3));
+    let mut book = ClaimTracker::new(Duration::from_secs(3));
     let (one, other) = ("one".into(), "other".into());
-    assert!(book.may_act(&one, at(0), |_| true), "nobody acted yet");
-    book.note(FencingToken(7), "one".into(), at(0));
-    assert!(book.may_act(&one, at(10), |_| true));
-    assert!(!book.may_act(&other, at(10), |_| true));
-    assert!(book.may_act(&other, at(10), |_| false), "the holder is gone");
-    assert!(book.may_act(&other, at(3000), |_| true), "its lease is over");
-    book.note(FencingToken(7), "one".into(), at(2000));
-    assert!(!book.may_act(&other, at(3000), |_| true), "it acted again");
+    assert!(book.can_act(&one, at(0), |_| true), "nobody acted yet");
+    book.record_act(FencingToken(7), "one".into(), at(0));
+    assert!(book.can_act(&one, at(10), |_| true));
+    assert!(!book.can_act(&other, at(10), |_| true));
+    assert!(book.can_act(&other, at(10), |_| false), "the holder is gone");
+    assert!(book.can_act(&other, at(3000), |_| true), "its lease is over");
+    book.record_act(FencingToken(7), "one".into(), at(2000));
+    assert!(!book.can_act(&other, at(3000), |_| true), "it acted again");
 }
 
 /// A note that was long on its way makes a claim look younger, never older, and an old one changes nothing.
 #[test]
 fn notes_of_claims_only_move_forward() {
-    let mut book = ClaimBook::new(Duration::from_secs(3));
+    let mut book = ClaimTracker::new(Duration::from_secs(3));
     let note =
-        |token, age_ms| ClaimNote { token: FencingToken(token), holder: "one".into(), age_ms };
+        |token, age_ms| ClaimReport { token: FencingToken(token), holder: "one".into(), age_ms };
     let (holder, other) = ("one".into(), "other".into());
-    book.take(&note(7, 500), &holder, at(1000));
-    assert_eq!(book.to_tell(at(1000)), Some(note(7, 500)));
-    book.take(&note(6, 0), &holder, at(1000));
-    book.take(&note(7, 0), &other, at(1200));
-    assert_eq!(book.to_tell(at(1200)), Some(note(7, 700)));
-    book.take(&note(7, 600), &holder, at(1200));
-    assert_eq!(book.to_tell(at(1200)), Some(note(7, 600)), "it has acted again");
-    book.take(&note(7, 900), &holder, at(1200));
-    assert_eq!(book.to_tell(at(1200)), Some(note(7, 600)), "an older note of it");
+    book.apply_report(&note(7, 500), &holder, at(1000));
+    assert_eq!(book.report(at(1000)), Some(note(7, 500)));
+    book.apply_report(&note(6, 0), &holder, at(1000));
+    book.apply_report(&note(7, 0), &other, at(1200));
+    assert_eq!(book.report(at(1200)), Some(note(7, 700)));
+    book.apply_report(&note(7, 600), &holder, at(1200));
+    assert_eq!(book.report(at(1200)), Some(note(7, 600)), "it has acted again");
+    book.apply_report(&note(7, 900), &holder, at(1200));
+    assert_eq!(book.report(at(1200)), Some(note(7, 600)), "an older note of it");
 }
 
 /// A claim that is read again was not made again.
 #[test]
 fn a_claim_that_is_known_gets_no_younger_by_a_look() {
-    let mut book = ClaimBook::new(Duration::from_secs(3));
+    let mut book = ClaimTracker::new(Duration::from_secs(3));
     let other = "other".into();
-    book.saw(FencingToken(7), "one".into(), at(0));
-    assert!(!book.may_act(&other, at(1000), |_| true), "it may have been made just now");
-    book.saw(FencingToken(7), "one".into(), at(2000));
-    assert!(book.may_act(&other, at(3000), |_| true));
-    book.saw(FencingToken(8), "one".into(), at(3000));
-    assert!(!book.may_act(&other, at(3100), |_| true), "another claim");
+    book.record_observed(FencingToken(7), "one".into(), at(0));
+    assert!(!book.can_act(&other, at(1000), |_| true), "it may have been made just now");
+    book.record_observed(FencingToken(7), "one".into(), at(2000));
+    assert!(book.can_act(&other, at(3000), |_| true));
+    book.record_observed(FencingToken(8), "one".into(), at(3000));
+    assert!(!book.can_act(&other, at(3100), |_| true), "another claim");
 }
 
 /// Symptom: an instance that the store turns away serves by the configuration of yesterday.
@@ -296,12 +297,12 @@
 fn a_holder_whose_claim_was_lost_stays_alone_for_its_lease() {
     let (lost, restored, own) = ("lost".into(), "restored".into(), "own".into());
     let at = |ms: u64| BootInstant(1_000_000_000 + ms * 1000);
-    let mut book = ClaimBook::new(Duration::from_millis(1500));
-    book.note(FencingToken(90), InstanceId::clone(&lost), at(1000));
+    let mut book = ClaimTracker::new(Duration::from_millis(1500));
+    book.record_act(FencingToken(90), InstanceId::clone(&lost), at(1000));
     let token_after = FencingToken((1 << 40) + 50);
-    book.saw(token_after, InstanceId::clone(&restored), at(1200));
+    book.record_observed(token_after, InstanceId::clone(&restored), at(1200));
     let lives = |id: &InstanceId| *id == lost;
-    assert!(!book.may_act(&own, at(2400), lives));
-    assert!(book.may_act(&own, at(2600), lives));
-    assert!(book.may_act(&own, at(2400), |_| false), "whoever is gone is not waited for");
+    assert!(!book.can_act(&own, at(2400), lives));
+    assert!(book.can_act(&own, at(2600), lives));
+    assert!(book.can_act(&own, at(2400), |_| false), "whoever is gone is not waited for");
 }
--- a/crates/gullspar_direct/tests/support/fake_claims.rs
+++ b/crates/gullspar_direct/tests/support/fake_claims.rs
@@ -6,13 +6,13 @@
 
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
-use gullspar_direct::{Claim, ClaimError, Claims, FencingToken, StandingClaim};
+use gullspar_direct::{Claim, ClaimError, Claims, CurrentClaim, FencingToken};
 use gullspar_model::{GroupName, InstanceId};
 
 /// The store's objects for claims, with a counter that only grows.
 #[derive(Default)]
 pub struct FakeClaims {
-    standing: RefCell<Option<StandingClaim>>,
+    standing: RefCell<Option<CurrentClaim>>,
     counter: Cell<u64>,
     /// Calls fail without effect.
     pub away: Cell<bool>,
@@ -52,7 +52,7 @@
     fn replace(&self, claim: Option<Claim>) -> FencingToken {
         self.counter.set(self.counter.get() + 1);
         let token = FencingToken(self.counter.get());
-        *self.standing.borrow_mut() = Some(StandingClaim { token, claim });
+        *self.standing.borrow_mut() = Some(CurrentClaim { token, claim });
         token
     }
 }
@@ -70,10 +70,10 @@
 }
 
 impl Claims for Channel {
-    fn standing<'a>(
+    fn current<'a>(
         &'a self,
         _group: &'a GroupName,
-    ) -> LocalBoxFuture<'a, Result<Option<StandingClaim>, ClaimError>> {
+    ) -> LocalBoxFuture<'a, Result<Option<CurrentClaim>, ClaimError>> {
         self.claims.calls.set(self.claims.calls.get() + 1);
         let result = if self.is_away() {
             Err(ClaimError::Refused("away".to_owned()))
