--- a/crates/gullspar_direct/src/fleet/cut_off.rs
+++ b/crates/gullspar_direct/src/fleet/cut_off.rs
@@ -20,7 +20,7 @@
             return false;
         }
         let now = self.borders.clock.boot_now();
-        if group.working_leader().is_some() {
+        if group.responsive_leader().is_some() {
             return !group.is_being_replaced(now);
         }
         let led = group
@@ -52,7 +52,7 @@
 
     /// How many of its groups' leaders this instance reaches.
     pub(crate) fn led_groups(&self) -> usize {
-        self.groups().iter().filter(|it| it.working_leader().is_some()).count()
+        self.groups().iter().filter(|it| it.responsive_leader().is_some()).count()
     }
 
     /// Why no session with `route` is opened here now, if none is.
@@ -78,8 +78,8 @@
     /// Whether any statement with `route` can be served: its group is led, or replicas were heard of lately enough.
     fn serves(&self, group: &Group, route: &Route) -> bool {
         let now = self.borders.clock.boot_now();
-        let fresh = |max_age| group.reading_within(now, max_age).is_some();
-        group.working_leader().is_some() || route.freshness.max_age().is_some_and(fresh)
+        let fresh = |max_age| group.position_sample_within(now, max_age).is_some();
+        group.responsive_leader().is_some() || route.freshness.max_age().is_some_and(fresh)
     }
 
     /// Whether this instance has been able to serve callers since its start.
--- a/crates/gullspar_direct/src/fleet/detour.rs
+++ b/crates/gullspar_direct/src/fleet/detour.rs
@@ -32,9 +32,10 @@
     /// reaches the leader, or nobody does.
     pub(crate) fn ways_around(&self, group: &GroupName) -> Option<Vec<Member>> {
         let known = self.group(group)?;
-        let lacking = known.leader_lacking_since()?;
+        let lacking = known.leader_unavailable_since()?;
         let now = self.borders.clock.now();
-        let no_room = now.checked_sub(FULL_FOR).is_some_and(|it| known.was_full_since(it));
+        let no_room =
+            now.checked_sub(FULL_FOR).is_some_and(|it| known.has_hit_connection_limit_since(it));
         if now < lacking + LACKING_FOR && !no_room {
             return None;
         }
@@ -56,7 +57,7 @@
     pub(crate) fn look_for_ways(&self, known: &mut Vec<GroupName>) {
         let now = self.borders.clock.now();
         let groups = self.groups();
-        groups.iter().for_each(|it| it.look_for_leader(now));
+        groups.iter().for_each(|it| it.refresh_leader_availability(now));
         let names = groups.iter().map(|it| it.name.clone());
         let found: Vec<GroupName> = names.filter(|it| self.ways_around(it).is_some()).collect();
         if found == *known {
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -59,7 +59,7 @@
         }
         self.give_up_groups(now);
         for group in self.groups() {
-            let stays = self.shutdown.phase() == Phase::Serving && group.given_up_at().is_none();
+            let stays = self.shutdown.phase() == Phase::Serving && group.release_at().is_none();
             group.targets().iter().for_each(|it| it.pool.set_stays(stays));
         }
         if let Some(catalogue) = self.directory.catalogue() {
@@ -73,7 +73,7 @@
         if group.target(&spec.member).is_some_and(|it| it.spec().is_started_anew(&spec)) {
             log::info!(member = spec.member.as_str(), group = spec.group.as_str(); "G0758 a target has started anew");
             group.remove(&spec.member);
-            group.does_not_lead(&spec.member, self.borders.clock.now());
+            group.record_not_leader(&spec.member, self.borders.clock.now());
         }
         let target = group.target(&spec.member).unwrap_or_else(|| self.new_target(&group, &spec));
         target.set_share(pacing::Share::of(spec.slots, holders));
@@ -170,7 +170,7 @@
 
     /// Whether this instance is no longer a home of `group` and keeps it only for sessions that are open.
     pub(crate) fn gives_up(&self, group: &GroupName) -> bool {
-        self.group(group).is_some_and(|it| it.given_up_at().is_some())
+        self.group(group).is_some_and(|it| it.release_at().is_some())
     }
 
     /// Gives up groups that other instances are homes of now, once their sessions had time to leave.
@@ -178,11 +178,11 @@
         for group in self.groups() {
             let allowance = self.allowance(&group.name);
             let home = allowance.is_some_and(|it| self.is_home(&group.name, it));
-            match (home, group.given_up_at()) {
-                (true, _) => group.set_given_up_at(None),
+            match (home, group.release_at()) {
+                (true, _) => group.set_release_at(None),
                 (false, None) => {
                     log::info!(group = group.name.as_str(); "G0750 other instances are the homes of a group now");
-                    group.set_given_up_at(Some(now + GIVE_UP_AFTER));
+                    group.set_release_at(Some(now + GIVE_UP_AFTER));
                     self.shutdown.notify();
                 }
                 (false, Some(at)) if now >= at => {
--- a/crates/gullspar_direct/src/groups/failover.rs
+++ b/crates/gullspar_direct/src/groups/failover.rs
@@ -151,7 +151,7 @@
             nonce: format!("{:016x}", self.borders.entropy.next_u64()),
             over_term: self.group.newest_term(),
         };
-        log::info!(group = self.group.name.as_str(), member = claim.member.as_str(), cause:? = cause, point:? = candidate.point, leader:? = self.group.newest_reading().map(|it| it.point); "G0715 a group needs another leader");
+        log::info!(group = self.group.name.as_str(), member = claim.member.as_str(), cause:? = cause, point:? = candidate.point, leader:? = self.group.newest_position_sample().map(|it| it.point); "G0715 a group needs another leader");
         let Some(token) = self.obtain(&claim, over).await else { return };
         if self.cause().is_none() {
             log::info!(group = self.group.name.as_str(); "G0716 the leader is back; nothing is ordered");
@@ -206,7 +206,9 @@
 
     /// Counts the commits that the old leader acknowledged and its successor was not seen to have.
     fn count_rolled_back(&self, candidate: &Candidate) {
-        let (Some(had), Some(has)) = (self.group.newest_reading(), candidate.point) else { return };
+        let (Some(had), Some(has)) = (self.group.newest_position_sample(), candidate.point) else {
+            return;
+        };
         let missing = had.point.position.0.saturating_sub(has.position.0);
         if had.point.term == has.term && missing > 0 {
             log::warn!(group = self.group.name.as_str(), commits = missing; "G0744 a failover may undo acknowledged commits");
@@ -259,7 +261,7 @@
         let clock = &self.borders.clock;
         let deadline = clock.now() + TAKES_EFFECT_WITHIN;
         while clock.now() < deadline && !reached() {
-            self.group.check();
+            self.group.request_check();
             clock.sleep_until(clock.now() + LOOK_EVERY).await;
         }
     }
--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -31,21 +31,21 @@
     /// When the present leader was first seen to lead.
     led_since: Cell<Option<BootInstant>>,
     /// Since when no leader answered here, as far as was looked.
-    leader_lacking_since: Cell<Option<Instant>>,
+    leader_unavailable_since: Cell<Option<Instant>>,
     readings: RefCell<Readings>,
     claims: RefCell<ClaimTracker>,
     /// How long a replica usually needs to have a commit, in microseconds.
-    usual_lag_us: Cell<u64>,
+    typical_lag_us: Cell<u64>,
     /// Until then replicas are taken to be too far behind for writes to wait for them.
-    lag_until: Cell<Option<Instant>>,
+    lagging_until: Cell<Option<Instant>>,
     /// When a target last refused this instance a connection since it has too many.
-    full_at: Cell<Option<Instant>>,
+    connection_limit_hit_at: Cell<Option<Instant>>,
     /// When a target last fell silent here.
-    darkened_at: Cell<Option<BootInstant>>,
-    given_up_at: Cell<Option<Instant>>,
+    last_unresponsive_at: Cell<Option<BootInstant>>,
+    release_at: Cell<Option<Instant>>,
     ended: Cell<bool>,
     changed: Event,
-    check_now: Event,
+    check_requested: Event,
     progress: Event,
 }
 
@@ -58,17 +58,17 @@
             newest_term: Cell::new(Term(0)),
             leaderless_since: Cell::new(now),
             led_since: Cell::new(None),
-            leader_lacking_since: Cell::new(None),
+            leader_unavailable_since: Cell::new(None),
             readings: RefCell::default(),
             claims: RefCell::new(ClaimTracker::new(lease)),
-            usual_lag_us: Cell::new(0),
-            lag_until: Cell::new(None),
-            full_at: Cell::new(None),
-            darkened_at: Cell::new(None),
-            given_up_at: Cell::new(None),
+            typical_lag_us: Cell::new(0),
+            lagging_until: Cell::new(None),
+            connection_limit_hit_at: Cell::new(None),
+            last_unresponsive_at: Cell::new(None),
+            release_at: Cell::new(None),
             ended: Cell::new(false),
             changed: Event::new(),
-            check_now: Event::new(),
+            check_requested: Event::new(),
             progress: Event::new(),
         })
     }
@@ -94,7 +94,7 @@
     }
 
     /// What a statement takes of late on the fastest of the group's targets, if any has answered one.
-    pub(crate) fn usual_mean(&self) -> Option<Duration> {
+    pub(crate) fn fastest_mean(&self) -> Option<Duration> {
         self.targets.borrow().values().filter_map(|it| it.mean()).min()
     }
 
@@ -108,14 +108,14 @@
     }
 
     /// The leader's target, if it is there and answers.
-    pub(crate) fn working_leader(&self) -> Option<Rc<Target>> {
+    pub(crate) fn responsive_leader(&self) -> Option<Rc<Target>> {
         let member = self.leader.borrow().as_ref()?.member.clone();
         self.target(&member).filter(|it| !it.is_dark())
     }
 
     /// The leader's target, if it may be given new work.
     pub(crate) fn serving_leader(&self) -> Option<Rc<Target>> {
-        self.working_leader().filter(|it| !it.is_past_leaving())
+        self.responsive_leader().filter(|it| !it.is_past_leaving())
     }
 
     /// The highest term in which a leader answered.
@@ -124,30 +124,30 @@
     }
 
     /// Whether the leader has announced that it will go.
-    pub(crate) fn leader_leaves(&self) -> bool {
+    pub(crate) fn is_leader_leaving(&self) -> bool {
         let leader = self.leader.borrow().as_ref().and_then(|it| self.target(&it.member));
         leader.is_some_and(|it| it.spec().leaving)
     }
 
     /// How long to wait before a replica is worth asking for a commit just made.
-    pub(crate) fn usual_lag(&self) -> Duration {
-        Duration::from_micros(self.usual_lag_us.get())
+    pub(crate) fn typical_lag(&self) -> Duration {
+        Duration::from_micros(self.typical_lag_us.get())
     }
 
     /// Whether replicas are known to be too far behind for a write to wait for them.
-    pub(crate) fn replicas_lag(&self, now: Instant) -> bool {
-        self.lag_until.get().is_some_and(|until| now < until)
+    pub(crate) fn has_lagging_replicas(&self, now: Instant) -> bool {
+        self.lagging_until.get().is_some_and(|until| now < until)
     }
 
-    pub(crate) fn note_lag(&self, until: Instant) {
-        self.lag_until.set(Some(until));
+    pub(crate) fn record_lagging_until(&self, until: Instant) {
+        self.lagging_until.set(Some(until));
     }
 
     /// A replica had a commit this long after it was made. What is learnt lies a little below, so that
     /// a shorter lag is noticed as well.
-    pub(crate) fn learn_lag(&self, took: Duration) {
+    pub(crate) fn update_typical_lag(&self, took: Duration) {
         let sample = took.as_micros() as u64 * 9 / 10;
-        self.usual_lag_us.set((self.usual_lag_us.get() * 7 + sample) / 8);
+        self.typical_lag_us.set((self.typical_lag_us.get() * 7 + sample) / 8);
     }
 
     pub(crate) fn leaderless_since(&self) -> Instant {
@@ -155,41 +155,41 @@
     }
 
     /// Since when this instance has no leader that it can use; `None` if it has one.
-    pub(crate) fn leader_lacking_since(&self) -> Option<Instant> {
-        self.leader_lacking_since.get()
+    pub(crate) fn leader_unavailable_since(&self) -> Option<Instant> {
+        self.leader_unavailable_since.get()
     }
 
-    pub(crate) fn look_for_leader(&self, now: Instant) {
-        let since = match self.working_leader() {
+    pub(crate) fn refresh_leader_availability(&self, now: Instant) {
+        let since = match self.responsive_leader() {
             Some(_) => None,
-            None => self.leader_lacking_since.get().or(Some(now)),
+            None => self.leader_unavailable_since.get().or(Some(now)),
         };
-        self.leader_lacking_since.set(since);
+        self.leader_unavailable_since.set(since);
     }
 
     /// Whether a target has refused this instance a connection since `instant`.
-    pub(crate) fn was_full_since(&self, instant: Instant) -> bool {
-        self.full_at.get().is_some_and(|at| at >= instant)
+    pub(crate) fn has_hit_connection_limit_since(&self, instant: Instant) -> bool {
+        self.connection_limit_hit_at.get().is_some_and(|at| at >= instant)
     }
 
     /// A target has refused this instance a connection since it has too many.
-    pub(crate) fn note_full(&self, now: Instant) {
-        self.full_at.set(Some(now));
+    pub(crate) fn record_connection_limit(&self, now: Instant) {
+        self.connection_limit_hit_at.set(Some(now));
     }
 
     /// When a target last fell silent here.
-    pub(crate) fn darkened_at(&self) -> Option<BootInstant> {
-        self.darkened_at.get()
+    pub(crate) fn last_unresponsive_at(&self) -> Option<BootInstant> {
+        self.last_unresponsive_at.get()
     }
 
     /// A target has fallen silent.
-    pub(crate) fn note_dark(&self, now: BootInstant) {
-        self.darkened_at.set(Some(now));
+    pub(crate) fn record_unresponsive(&self, now: BootInstant) {
+        self.last_unresponsive_at.set(Some(now));
         self.notify();
     }
 
     /// `member`, asked at `begun`, answered as the leader with its log at `point`.
-    pub(crate) fn leads(&self, member: &MemberName, point: LogPoint, begun: BootInstant) {
+    pub(crate) fn record_leader(&self, member: &MemberName, point: LogPoint, begun: BootInstant) {
         if point.term < self.newest_term.get() {
             // A late answer of a leader that was superseded meanwhile.
             return;
@@ -206,7 +206,7 @@
     }
 
     /// `member` said that it does not lead.
-    pub(crate) fn does_not_lead(&self, member: &MemberName, now: Instant) {
+    pub(crate) fn record_not_leader(&self, member: &MemberName, now: Instant) {
         if !self.is_leader(member) {
             return;
         }
@@ -217,19 +217,23 @@
     }
 
     /// Takes a position that a leader gave with an answer.
-    pub(crate) fn add_reading(&self, point: LogPoint, begun: BootInstant) {
+    pub(crate) fn add_position_sample(&self, point: LogPoint, begun: BootInstant) {
         if point.term >= self.newest_term.get() {
             self.readings.borrow_mut().add(Reading { begun, point });
         }
     }
 
     /// The oldest reading that covers everything older than `max_age`.
-    pub(crate) fn reading_within(&self, now: BootInstant, max_age: Duration) -> Option<Reading> {
+    pub(crate) fn position_sample_within(
+        &self,
+        now: BootInstant,
+        max_age: Duration,
+    ) -> Option<Reading> {
         self.readings.borrow().oldest_within(now, max_age)
     }
 
     /// The newest reading of the leader.
-    pub(crate) fn newest_reading(&self) -> Option<Reading> {
+    pub(crate) fn newest_position_sample(&self) -> Option<Reading> {
         self.readings.borrow().newest()
     }
 
@@ -266,12 +270,12 @@
     }
 
     /// When the group is given up to other instances, if it is.
-    pub(crate) fn given_up_at(&self) -> Option<Instant> {
-        self.given_up_at.get()
+    pub(crate) fn release_at(&self) -> Option<Instant> {
+        self.release_at.get()
     }
 
-    pub(crate) fn set_given_up_at(&self, at: Option<Instant>) {
-        self.given_up_at.set(at);
+    pub(crate) fn set_release_at(&self, at: Option<Instant>) {
+        self.release_at.set(at);
     }
 
     /// Nobody looks after the group here any more.
@@ -304,11 +308,11 @@
     }
 
     /// Has all members checked at once.
-    pub(crate) fn check(&self) {
-        self.check_now.notify(usize::MAX);
+    pub(crate) fn request_check(&self) {
+        self.check_requested.notify(usize::MAX);
     }
 
-    pub(crate) fn listen_check(&self) -> EventListener {
-        self.check_now.listen()
+    pub(crate) fn listen_check_request(&self) -> EventListener {
+        self.check_requested.listen()
     }
 }
--- a/crates/gullspar_direct/src/groups/succession.rs
+++ b/crates/gullspar_direct/src/groups/succession.rs
@@ -40,7 +40,7 @@
             return None;
         }
         let waits = cause == Cause::Leaves && self.borders.clock.now() < began + CATCH_UP_WITHIN;
-        let newest = self.group.newest_reading().map(|it| it.point);
+        let newest = self.group.newest_position_sample().map(|it| it.point);
         if waits && best.point < newest { None } else { Some(best.clone()) }
     }
 
--- a/crates/gullspar_direct/src/reading/placing.rs
+++ b/crates/gullspar_direct/src/reading/placing.rs
@@ -39,7 +39,7 @@
 /// The best target for a read, if any can serve it now.
 pub(crate) fn choose(group: &Group, wanted: &Wanted<'_>) -> Option<Rc<Target>> {
     let targets = group.targets();
-    let usual = group.usual_mean().unwrap_or(UNKNOWN_MEAN);
+    let usual = group.fastest_mean().unwrap_or(UNKNOWN_MEAN);
     let able = |avoided: bool| {
         targets
             .iter()
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -205,7 +205,7 @@
     pub(crate) fn needed_point(&self, group: &Group, req: &Request) -> Option<Needed> {
         let max_age = req.freshness.max_age()?.saturating_sub(AGE_MARGIN);
         let now = self.borders.clock.boot_now();
-        let reading = group.reading_within(now, max_age)?;
+        let reading = group.position_sample_within(now, max_age)?;
         let own = match req.freshness {
             Freshness::OwnWrites { .. } => req.own_commit,
             Freshness::Latest | Freshness::MaxAge { .. } => None,
--- a/crates/gullspar_direct/src/session/caller_session.rs
+++ b/crates/gullspar_direct/src/session/caller_session.rs
@@ -15,7 +15,7 @@
 use crate::session::refusal;
 use crate::session::request::{Body, Request};
 use crate::session::trace::{self, Trace};
-use crate::writing::confirmation::{Commit, Standing};
+use crate::writing::confirmation::{Commit, CommitStatus};
 use crate::writing::transaction::Transaction;
 use crate::{Phase, Proxy, Route, SessionValues};
 
@@ -336,12 +336,12 @@
         let (Some(point), Some(leader)) = (answer.point, self.trace.member.clone()) else {
             return answer;
         };
-        match self.proxy.confirm(group, &Commit { leader, point }, deadline).await {
-            Standing::Held | Standing::Alone => {
+        match self.proxy.confirm_commit(group, &Commit { leader, point }, deadline).await {
+            CommitStatus::Replicated | CommitStatus::LeaderOnly => {
                 self.own_commit = self.own_commit.max(Some(point));
                 answer
             }
-            Standing::Superseded => {
+            CommitStatus::Superseded => {
                 let failure = refusal::unknown("the leader was superseded meanwhile");
                 Answer::failed(failure, TransactionStatus::Idle)
             }
--- a/crates/gullspar_direct/src/targets/attempt.rs
+++ b/crates/gullspar_direct/src/targets/attempt.rs
@@ -123,7 +123,7 @@
         match answer.result {
             Ok(_) => {
                 if plain && let Some(point) = answer.point {
-                    self.group.add_reading(point, begun);
+                    self.group.add_position_sample(point, begun);
                 }
                 self.target.note_point(answer.point);
                 Ok(())
@@ -170,7 +170,7 @@
             let free_at = (started + PLACE_HELD_FOR).min(req.deadline);
             let soon = within(&**clock, free_at, &mut exchange).await;
             let taken = clock.now().saturating_duration_since(started);
-            self.target.free_place(permit, taken, self.group.usual_mean());
+            self.target.free_place(permit, taken, self.group.fastest_mean());
             match soon {
                 Ok(result) => Ok(result),
                 Err(DeadlinePassed) => within(&**clock, req.deadline, exchange).await,
@@ -180,7 +180,7 @@
             Ok(Ok(answers)) => answers,
             Ok(Err(err)) => {
                 log::info!(request = req.id.as_str(), member = self.target.member().as_str(), reason = err.to_string().as_str(); "G0710 a target's connection broke during a statement");
-                self.group.check();
+                self.group.request_check();
                 return Err(End::Lost);
             }
             Err(_) => {
@@ -232,8 +232,8 @@
             }
             FailureCode::Behind => Some(NotRun::Behind),
             FailureCode::ReadOnly => {
-                self.group.does_not_lead(&self.target.member(), now);
-                self.group.check();
+                self.group.record_not_leader(&self.target.member(), now);
+                self.group.request_check();
                 Some(NotRun::NotPrimary)
             }
             FailureCode::WrongTarget | FailureCode::NoSuchPrepared => Some(NotRun::Unreachable),
--- a/crates/gullspar_direct/src/targets/target_watch.rs
+++ b/crates/gullspar_direct/src/targets/target_watch.rs
@@ -62,14 +62,14 @@
                     log::warn!(member = target.member().as_str(); "G0709 a target does not answer");
                     borders.stats.target_dark();
                     target.pool.drop_idle();
-                    group.note_dark(borders.clock.boot_now());
+                    group.record_unresponsive(borders.clock.boot_now());
                 }
             }
-            Check::Full => group.note_full(borders.clock.now()),
+            Check::Full => group.record_connection_limit(borders.clock.now()),
             Check::InUse => {}
         }
         target.pool.drop_surplus();
-        let woken = group.listen_check();
+        let woken = group.listen_check_request();
         let until = borders.clock.now() + pause(&group, &target, &check);
         // Whichever comes first, the next check follows.
         let _ = within(&*borders.clock, until, woken).await;
@@ -79,7 +79,7 @@
 fn pause(group: &Group, target: &Target, check: &Check) -> Duration {
     if matches!(check, Check::Full) {
         FULL_PAUSE
-    } else if group.working_leader().is_none() || target.has_misses() {
+    } else if group.responsive_leader().is_none() || target.has_misses() {
         TROUBLED_EVERY
     } else if group.is_leader(&target.member()) {
         LEADER_EVERY
@@ -121,9 +121,9 @@
     let Some(first) = answers.first() else { return Check::Missed };
     target.note_point(first.point);
     match (&first.result, first.point) {
-        (Ok(_), Some(point)) => group.leads(&spec.member, point, begun),
+        (Ok(_), Some(point)) => group.record_leader(&spec.member, point, begun),
         (Err(failure), _) if failure.code == FailureCode::ReadOnly => {
-            group.does_not_lead(&spec.member, clock.now());
+            group.record_not_leader(&spec.member, clock.now());
         }
         _ => {}
     }
--- a/crates/gullspar_direct/src/writing/confirmation.rs
+++ b/crates/gullspar_direct/src/writing/confirmation.rs
@@ -46,50 +46,50 @@
 
 /// How a commit stands with the replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum CommitStatus {
     /// Whoever leads next has it.
-    Held,
+    Replicated,
     /// No replica was seen to have it in time, its leader leads still, and nobody is about to replace it.
-    Alone,
+    LeaderOnly,
     /// Another term has begun, or may be about to, and it can't be told whether its log has the commit.
     Superseded,
 }
 
 impl Proxy {
     /// Waits until `commit` would survive its leader, or until `deadline`.
-    pub(crate) async fn confirm(
+    pub(crate) async fn confirm_commit(
         &self,
         group: &Rc<Group>,
         commit: &Commit,
         deadline: Instant,
-    ) -> Standing {
+    ) -> CommitStatus {
         let clock = &self.borders.clock;
         let point = commit.point;
         let (asked, boot_asked) = (clock.now(), clock.boot_now());
-        let wait = if group.replicas_lag(asked) { LAGGING_WAIT } else { CONFIRM_WITHIN };
+        let wait = if group.has_lagging_replicas(asked) { LAGGING_WAIT } else { CONFIRM_WITHIN };
         let mut alone_at = asked + wait;
-        let mut look_at = asked + group.usual_lag();
+        let mut look_at = asked + group.typical_lag();
         let mut pause = FIRST_PAUSE;
         loop {
             let progress = group.listen_progress();
             if let Some(standing) = standing(group, commit) {
-                if standing == Standing::Held {
-                    group.learn_lag(clock.now().saturating_duration_since(asked));
+                if standing == CommitStatus::Replicated {
+                    group.update_typical_lag(clock.now().saturating_duration_since(asked));
                 }
                 return standing;
             }
             let now = clock.now();
             if now >= alone_at || staying(group).is_empty() {
                 if group.leader().is_some() && !self.still_leads(group, commit).await {
-                    return Standing::Superseded;
+                    return CommitStatus::Superseded;
                 }
                 if self.may_stand_alone(group, boot_asked) {
                     self.note_alone(group, point, wait);
-                    return Standing::Alone;
+                    return CommitStatus::LeaderOnly;
                 }
                 if now >= deadline {
                     log::warn!(group = group.name.as_str(), term = point.term.0, position = point.position.0; "G0756 a commit is held by its leader alone, and another leader may have been ordered");
-                    return Standing::Superseded;
+                    return CommitStatus::Superseded;
                 }
                 alone_at = (now + VOUCH_PAUSE).min(deadline);
             }
@@ -113,7 +113,7 @@
         log::info!(group = group.name.as_str(), term = point.term.0, position = point.position.0; "G0745 a commit is acknowledged by the leader alone");
         self.borders.stats.acknowledged_alone();
         if wait == CONFIRM_WITHIN {
-            group.note_lag(self.borders.clock.now() + LAG_HOLDS_FOR);
+            group.record_lagging_until(self.borders.clock.now() + LAG_HOLDS_FOR);
         }
     }
 
@@ -132,7 +132,7 @@
             BootInstant::MACHINE_START
         } else if replicas.is_empty() {
             // What was said before the last of them fell silent may be from before a cut.
-            group.darkened_at().unwrap_or(BootInstant::MACHINE_START)
+            group.last_unresponsive_at().unwrap_or(BootInstant::MACHINE_START)
         } else {
             asked
         };
@@ -142,7 +142,7 @@
 
     /// Whether the leader that made `commit` leads now, as it says itself.
     async fn still_leads(&self, group: &Rc<Group>, commit: &Commit) -> bool {
-        let leader = group.working_leader().filter(|it| it.member() == commit.leader);
+        let leader = group.responsive_leader().filter(|it| it.member() == commit.leader);
         let Some(leader) = leader else { return false };
         target_watch::leads(&self.borders, group, &leader).await
             && group.newest_term() == commit.point.term
@@ -153,10 +153,10 @@
 }
 
 /// How the commit stands by what is known now; `None` if more may be learnt.
-fn standing(group: &Group, commit: &Commit) -> Option<Standing> {
+fn standing(group: &Group, commit: &Commit) -> Option<CommitStatus> {
     let point = commit.point;
     if group.newest_term() > point.term {
-        return Some(Standing::Superseded);
+        return Some(CommitStatus::Superseded);
     }
     if !group.is_leader(&commit.leader) {
         return stands_with_successor(group, point);
@@ -164,21 +164,21 @@
     let replicas = staying(group);
     let mut held = replicas.iter().map(|it| has(it, point));
     // A leader that leaves hands over to one of them, and it is not known to which.
-    let held = match group.leader_leaves() {
+    let held = match group.is_leader_leaving() {
         true => !replicas.is_empty() && held.all(|it| it),
         false => held.any(|it| it),
     };
-    held.then_some(Standing::Held)
+    held.then_some(CommitStatus::Replicated)
 }
 
 /// How a commit stands whose leader leads no more; `None` until its successor is known.
 ///
 /// Only the successor counts: other replicas, and the old leader itself, lose what it lacks. Until its first commit
 /// it shows how far its log reaches in the old term.
-fn stands_with_successor(group: &Group, point: LogPoint) -> Option<Standing> {
+fn stands_with_successor(group: &Group, point: LogPoint) -> Option<CommitStatus> {
     let successor = group.target(&group.leader()?.member);
     let held = successor.is_some_and(|it| has(&it, point));
-    Some(if held { Standing::Held } else { Standing::Superseded })
+    Some(if held { CommitStatus::Replicated } else { CommitStatus::Superseded })
 }
 
 fn has(target: &Target, point: LogPoint) -> bool {
