--- a/crates/gullspar_group/src/group_timing.rs
+++ b/crates/gullspar_group/src/group_timing.rs
@@ -17,9 +17,9 @@
     /// A claim that is not finished after this long is taken to be abandoned.
     pub claim_abandoned_after: Duration,
     /// How much longer each further instance in the ranking waits before it claims.
-    pub claim_step: Duration,
+    pub claim_turn_delay: Duration,
     /// How long any single step of a promotion may take.
-    pub step_within: Duration,
+    pub step_timeout: Duration,
 }
 
 impl Default for GroupTiming {
@@ -29,8 +29,8 @@
             failed_after: Duration::from_millis(400),
             refused_after: Duration::from_millis(250),
             claim_abandoned_after: Duration::from_millis(1500),
-            claim_step: Duration::from_millis(150),
-            step_within: Duration::from_millis(800),
+            claim_turn_delay: Duration::from_millis(150),
+            step_timeout: Duration::from_millis(800),
         }
     }
 }
--- a/crates/gullspar_group/src/group_watch.rs
+++ b/crates/gullspar_group/src/group_watch.rs
@@ -13,7 +13,7 @@
     Unknown,
 };
 
-use crate::{GroupTiming, MemberView, Reading, ReadingHistory};
+use crate::{GroupTiming, MemberView, PositionSample, PositionSamples};
 
 /// Who leads a group, as far as is known here.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,11 +33,11 @@
 }
 
 /// A request in flight that needs a group observed.
-pub struct WatchUse {
+pub struct WatchGuard {
     watch: Rc<GroupWatch>,
 }
 
-impl std::ops::Deref for WatchUse {
+impl std::ops::Deref for WatchGuard {
     type Target = Rc<GroupWatch>;
 
     fn deref(&self) -> &Rc<GroupWatch> {
@@ -45,7 +45,7 @@
     }
 }
 
-impl Drop for WatchUse {
+impl Drop for WatchGuard {
     fn drop(&mut self) {
         self.watch.users.set(self.watch.users.get() - 1);
     }
@@ -58,7 +58,7 @@
     pub(crate) timing: GroupTiming,
     pub(crate) spec: RefCell<Rc<GroupSpec>>,
     pub(crate) views: RefCell<BTreeMap<MemberName, MemberView>>,
-    readings: RefCell<ReadingHistory>,
+    position_samples: RefCell<PositionSamples>,
     /// Before this instant silence proves nothing: this process itself was paused.
     trust_silence_after: Cell<Instant>,
     /// When the claim last seen on the platform was first seen.
@@ -83,7 +83,7 @@
             timing,
             views: RefCell::new(views.collect()),
             spec: RefCell::new(spec),
-            readings: RefCell::default(),
+            position_samples: RefCell::default(),
             trust_silence_after: Cell::new(now + timing.failed_after),
             claim_seen: Cell::new((Term(0), now)),
             users: Cell::new(0),
@@ -155,9 +155,9 @@
     }
 
     /// Keeps the group observed for as long as the guard lives.
-    pub fn in_use(self: &Rc<Self>) -> WatchUse {
+    pub fn guard(self: &Rc<Self>) -> WatchGuard {
         self.users.set(self.users.get() + 1);
-        WatchUse { watch: Rc::clone(self) }
+        WatchGuard { watch: Rc::clone(self) }
     }
 
     /// Lets whoever waits look again.
@@ -171,7 +171,12 @@
         {
             let mut views = self.views.borrow_mut();
             let Some(view) = views.get_mut(member) else { return };
-            *view = MemberView { status: Some(status), asked_at, heard_at: now, refusing: false };
+            *view = MemberView {
+                status: Some(status),
+                asked_at,
+                last_response_at: now,
+                refusing: false,
+            };
         }
         self.note_reading();
         self.changed.notify(usize::MAX);
@@ -197,7 +202,7 @@
         let Some(status) = view.status.filter(|it| it.leads(leader.term)) else { return };
         let point = LogPoint { term: leader.term, position: status.position };
         let as_of = confirmed.min(view.asked_at);
-        self.readings.borrow_mut().add(Reading { as_of, point });
+        self.position_samples.borrow_mut().add(PositionSample { as_of, point });
     }
 
     /// The latest instant at which a majority is known to have taken part in `term`.
@@ -222,7 +227,7 @@
     }
 
     /// Whether a majority was heard lately taking part in `term`.
-    pub fn majority_in_sight(&self, term: Term) -> bool {
+    pub fn has_responsive_majority(&self, term: Term) -> bool {
         let now = self.now();
         self.majority(|it| {
             it.is_recent(now, self.timing.failed_after)
@@ -319,7 +324,7 @@
     /// How old a member's data is at most; `None` where no reading tells.
     pub fn age(&self, member: &MemberName) -> Option<Duration> {
         let status = self.view(member)?.status?;
-        let as_of = self.readings.borrow().fresh_as_of(&status)?;
+        let as_of = self.position_samples.borrow().fresh_as_of(&status)?;
         Some(self.now().saturating_duration_since(as_of))
     }
 
@@ -366,6 +371,6 @@
         let Some(view) = self.view(member) else { return false };
         let patience =
             if view.refusing { self.timing.refused_after } else { self.timing.failed_after };
-        now >= self.trust_silence_after.get() && now > view.heard_at + patience
+        now >= self.trust_silence_after.get() && now > view.last_response_at + patience
     }
 }
--- a/crates/gullspar_group/src/member_view.rs
+++ b/crates/gullspar_group/src/member_view.rs
@@ -11,7 +11,7 @@
     /// When the call was sent whose answer `status` is: the status is not older than this.
     pub asked_at: Instant,
     /// When it was last heard of; the start of observation before the first answer.
-    pub heard_at: Instant,
+    pub last_response_at: Instant,
     /// Whether its last sign was an outright refusal of the connection.
     pub refusing: bool,
 }
@@ -19,11 +19,11 @@
 impl MemberView {
     /// Nothing seen since `now`.
     pub fn new(now: Instant) -> MemberView {
-        MemberView { status: None, asked_at: now, heard_at: now, refusing: false }
+        MemberView { status: None, asked_at: now, last_response_at: now, refusing: false }
     }
 
     /// Whether the member was heard of less than `patience` before `now`.
     pub(crate) fn is_recent(&self, now: Instant, patience: Duration) -> bool {
-        self.heard_at + patience > now
+        self.last_response_at + patience > now
     }
 }
--- a/crates/gullspar_group/src/reading_history.rs
+++ b/crates/gullspar_group/src/position_samples.rs
@@ -7,7 +7,7 @@
 
 /// A position of the primary that covers everything acknowledged up to `as_of`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reading {
+pub struct PositionSample {
     pub as_of: Instant,
     pub point: LogPoint,
 }
@@ -17,11 +17,11 @@
 /// A member that has reached a reading's position holds all that was acknowledged at its instant, so
 /// its data is no older than that. No clock of a target is asked. See `docs/design/staleness.md`.
 #[derive(Debug, Default)]
-pub struct ReadingHistory {
-    readings: VecDeque<Reading>,
+pub struct PositionSamples {
+    readings: VecDeque<PositionSample>,
 }
 
-impl ReadingHistory {
+impl PositionSamples {
     /// Readings kept; with the spacing below they reach back six seconds and more.
     const LIMIT: usize = 256;
 
@@ -29,7 +29,7 @@
     const SPACING: Duration = Duration::from_millis(25);
 
     /// Adds a reading if it is later than the last one.
-    pub fn add(&mut self, reading: Reading) {
+    pub fn add(&mut self, reading: PositionSample) {
         if let Some(last) = self.readings.back() {
             let same = last.point == reading.point;
             if reading.as_of <= last.as_of {
@@ -39,12 +39,12 @@
             // more. Otherwise readings are spaced, so that a busy group keeps no more of them.
             if same {
                 self.readings.pop_back();
-            } else if reading.as_of < last.as_of + ReadingHistory::SPACING {
+            } else if reading.as_of < last.as_of + PositionSamples::SPACING {
                 return;
             }
         }
         self.readings.push_back(reading);
-        if self.readings.len() > ReadingHistory::LIMIT {
+        if self.readings.len() > PositionSamples::LIMIT {
             self.readings.pop_front();
         }
     }
--- a/crates/gullspar_group/src/promotion.rs
+++ b/crates/gullspar_group/src/promotion.rs
@@ -88,7 +88,7 @@
         let fenced = self.fence_majority(term).await?;
         reached(PromotionStep::Fenced);
         let (mut chosen, end) = most_advanced(fenced).ok_or(PromotionError::NoMajority(0))?;
-        let deadline = self.watch.now() + self.watch.timing.step_within;
+        let deadline = self.watch.now() + self.watch.timing.step_timeout;
         chosen.control.promote(term, deadline).await?;
         reached(PromotionStep::Promoted);
         let leader = Leader { term, member: chosen.spec.name };
@@ -169,7 +169,7 @@
     async fn let_replicas_catch_up(&self, term: Term, primary: Option<&MemberName>) {
         let spec = self.watch.spec();
         let Some(primary) = primary.and_then(|it| spec.member(it)) else { return };
-        let deadline = self.watch.now() + self.watch.timing.step_within;
+        let deadline = self.watch.now() + self.watch.timing.step_timeout;
         // Without the primary's answer the promotion goes on as after a failure.
         let Ok(fenced) = self.fence(primary.clone(), term, deadline).await else { return };
         let deadline = self.watch.now() + CATCH_UP_WITHIN;
@@ -187,7 +187,7 @@
     /// Makes a majority refuse all terms below `term`, and only then reads what they have.
     async fn fence_majority(&self, term: Term) -> Result<Vec<FencedMember>, PromotionError> {
         let spec = self.watch.spec();
-        let deadline = self.watch.now() + self.watch.timing.step_within;
+        let deadline = self.watch.now() + self.watch.timing.step_timeout;
         let mut calls: FuturesUnordered<_> =
             spec.members.iter().map(|it| self.fence(it.clone(), term, deadline)).collect();
         let mut fenced = Vec::new();
--- a/crates/gullspar_group/src/repair.rs
+++ b/crates/gullspar_group/src/repair.rs
@@ -47,7 +47,7 @@
         else {
             return Ok(());
         };
-        let deadline = self.now() + self.timing.step_within;
+        let deadline = self.now() + self.timing.step_timeout;
         let borders = self.borders();
         let clock = Rc::clone(&borders.clock);
         let mut control =
--- a/crates/gullspar_group/src/suspicion.rs
+++ b/crates/gullspar_group/src/suspicion.rs
@@ -134,9 +134,9 @@
             Need::Silent => Duration::ZERO,
             Need::Leaving | Need::NoPrimary => 2 * JUDGE_EVERY,
             Need::Deposed => self.timing.failed_after,
-            Need::AbandonedClaim => self.timing.step_within,
+            Need::AbandonedClaim => self.timing.step_timeout,
         };
-        base + self.timing.claim_step * self.turn()
+        base + self.timing.claim_turn_delay * self.turn()
     }
 
     fn turn(&self) -> u32 {
--- a/crates/gullspar_group/src/target_control.rs
+++ b/crates/gullspar_group/src/target_control.rs
@@ -42,7 +42,7 @@
 }
 
 /// Asks a target for its status without waiting.
-pub const STATUS_NOW: &str = "SELECT group_status(0, 0, 0, 0)";
+pub const STATUS_QUERY: &str = "SELECT group_status(0, 0, 0, 0)";
 
 /// A control connection to one target.
 pub struct TargetControl {
@@ -85,7 +85,7 @@
         /// A position that no log reaches, for those that don't want to be woken by it.
         const NEVER: u64 = i64::MAX as u64;
         let sql = match known {
-            None => STATUS_NOW.to_owned(),
+            None => STATUS_QUERY.to_owned(),
             Some(known) => {
                 let position = if wake_on_position { known.position.0 } else { NEVER };
                 format!(
@@ -131,14 +131,14 @@
         let rows = within(&*clock, deadline, self.client.query(sql))
             .await
             .map_err(|_| TargetError::Silent)??;
-        let row = rows.first().and_then(read_status);
+        let row = rows.first().and_then(parse_status);
         row.ok_or_else(|| TargetError::Refused("the status can't be read".to_owned()))
     }
 }
 
 /// Reads the row that every control function answers with: one composite value, as
 /// `(primary,3,3,3,417)`. One column keeps the answers short; they are most of what control costs.
-pub fn read_status(row: &QueryRow) -> Option<MemberStatus> {
+pub fn parse_status(row: &QueryRow) -> Option<MemberStatus> {
     let text = row.first()?.as_deref()?.strip_prefix('(')?.strip_suffix(')')?;
     let mut fields = text.split(',');
     let role = match fields.next()? {
--- a/crates/gullspar_instance/src/report.rs
+++ b/crates/gullspar_instance/src/report.rs
@@ -43,7 +43,7 @@
                 group: spec.name.clone(),
                 member: member.name.clone(),
                 status: view.and_then(|it| it.status),
-                silent_ms: view.map(|it| watch.elapsed(it.heard_at).as_millis() as u64),
+                silent_ms: view.map(|it| watch.elapsed(it.last_response_at).as_millis() as u64),
                 age_ms: watch.age(&member.name).map(|it| it.as_millis() as u64),
                 connections: pool.connections,
                 busy_slots: pool.busy_slots,
--- a/crates/gullspar_target/src/local_lane.rs
+++ b/crates/gullspar_target/src/local_lane.rs
@@ -9,7 +9,7 @@
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
 use gullspar_border::within;
-use gullspar_group::{GroupWatch, STATUS_NOW, Settled, WatchUse, read_status};
+use gullspar_group::{GroupWatch, STATUS_QUERY, Settled, WatchGuard, parse_status};
 use gullspar_model::{Access, LogPoint, NotRun, Outcome, Term, Unknown};
 use gullspar_wire::{LaneUnit, status};
 
@@ -21,7 +21,7 @@
 
 /// A unit that may run now.
 struct Admitted {
-    watch: WatchUse,
+    watch: WatchGuard,
     pool: Rc<TargetPool>,
     /// The term under which a unit on the primary runs.
     term: Option<Term>,
@@ -31,7 +31,7 @@
 /// A connection kept from one unit to the next.
 struct Pinned {
     checked_out: CheckedOut,
-    watch: WatchUse,
+    watch: WatchGuard,
     pool: Rc<TargetPool>,
     term: Option<Term>,
 }
@@ -100,7 +100,7 @@
         // A pinned connection that the caller no longer counts on is in no known state.
         self.pinned = None;
         let (watch, pool) = self.pools.pool(&head.group, &head.member)?;
-        let watch = watch.in_use();
+        let watch = watch.guard();
         let term = check_leadership(&watch, head)?;
         if !head.on_primary {
             if watch.is_silent(&head.member) {
@@ -210,8 +210,8 @@
             }
         };
         exchanged.status = status::IDLE;
-        let rows = connection.channel.ask(STATUS_NOW).await.map_err(lost)?;
-        exchanged.after = rows.first().and_then(read_status);
+        let rows = connection.channel.ask(STATUS_QUERY).await.map_err(lost)?;
+        exchanged.after = rows.first().and_then(parse_status);
         Ok(exchanged)
     }
 
@@ -231,7 +231,7 @@
         // The connection and its slot are free for others while the answer waits.
         let pinned = exchanged.status != status::IDLE || head.keep;
         if pinned {
-            self.pinned = Some(Pinned { checked_out, watch: watch.in_use(), pool, term });
+            self.pinned = Some(Pinned { checked_out, watch: watch.guard(), pool, term });
         } else {
             checked_out.give_back();
         }
@@ -280,7 +280,7 @@
         // A primary that was superseded long ago still answers, with data as old as that.
         return Err(NotRun::NoMajority);
     }
-    if head.access == Access::Write && !watch.majority_in_sight(leader.term) {
+    if head.access == Access::Write && !watch.has_responsive_majority(leader.term) {
         // Sent now, the write could take effect and never be acknowledged: its caller would be
         // left with an unknown outcome where a clear refusal is possible.
         return Err(NotRun::NoMajority);
--- a/crates/gullspar_target/src/unit_exchange.rs
+++ b/crates/gullspar_target/src/unit_exchange.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
-use gullspar_group::{STATUS_NOW, read_status};
+use gullspar_group::{STATUS_QUERY, parse_status};
 use gullspar_model::{MemberStatus, NotRun, Unknown};
 use gullspar_wire::{ErrorReport, WireError, query, status, target};
 
@@ -85,7 +85,7 @@
     let keyed = unit.head.request_key.is_some() && unit.head.commits && !unit.head.continues;
     let ask_status = unit.head.acknowledge && !keyed;
     if ask_status {
-        out.extend_from_slice(query(STATUS_NOW).bytes());
+        out.extend_from_slice(query(STATUS_QUERY).bytes());
     }
     connection.channel.queue(&out);
     let lost = |_| Failure::Lost(Unknown::ConnectionLost);
@@ -149,7 +149,7 @@
     }
     if ask_status {
         let rows = connection.channel.read_answer().await.map_err(lost)?;
-        exchanged.after = rows.first().and_then(read_status);
+        exchanged.after = rows.first().and_then(parse_status);
     }
     Ok(exchanged)
 }
