--- a/crates/gullspar_direct/src/groups/candidate.rs
+++ b/crates/gullspar_direct/src/groups/candidate.rs
@@ -1,8 +1,8 @@
-//! A member that could lead.
+//! A member that can be promoted.
 
 use gullspar_model::{LogPoint, MemberName};
 
-/// A member that could lead, and how far its log reaches.
+/// A member that can be promoted, and where its log ends.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     pub(crate) member: MemberName,
--- /dev/null
+++ b/crates/gullspar_direct/src/groups/candidate_selection.rs
@@ -0,0 +1,91 @@
+//! Selects the member to promote.
+
+use std::rc::Rc;
+use std::time::Instant;
+
+use futures::future;
+use gullspar_border::within;
+use gullspar_model::LogPoint;
+use gullspar_statement::TargetCommand;
+
+use crate::Claim;
+use crate::groups::candidate::Candidate;
+use crate::groups::failover::{FailoverCause, FailoverCoordinator};
+use crate::groups::failover_timing::{CATCH_UP_TIMEOUT, POINT_QUERY_TIMEOUT};
+use crate::targets::target::Target;
+
+impl FailoverCoordinator {
+    /// The member to promote: the one with the longest log; `None` if there is none yet.
+    ///
+    /// Writes that the old leader acknowledged beyond the end of that log are lost. A leader that is leaving
+    /// still runs, so its replacement waits until the candidate has its whole log.
+    pub(crate) async fn select_candidate(
+        &self,
+        cause: FailoverCause,
+        began: Instant,
+        previous: Option<&Claim>,
+    ) -> Option<Candidate> {
+        let is_responsive = |it: &Rc<Target>| !it.is_dark() && it.was_heard();
+        let targets: Vec<Rc<Target>> =
+            self.group.targets().into_iter().filter(is_responsive).collect();
+        let queries = targets.iter().map(|it| self.query_candidate(it));
+        let candidates: Vec<Candidate> =
+            future::join_all(queries).await.into_iter().flatten().collect();
+        let is_eligible = |it: &&Candidate| {
+            let target = self.group.target(&it.member);
+            target.is_some_and(|it| !it.spec().leaving && !self.is_leader(&it))
+        };
+        let best = candidates.iter().filter(is_eligible).max_by_key(|it| it.point)?;
+        if !self.is_up_to_date(best, previous, &candidates) {
+            log::warn!(group = self.group.name.as_str(), member = best.member.as_str(), point:? = best.point, over_term:? = previous.map(|it| it.over_term); "G0753 only members of a superseded term are reachable; no member is promoted");
+            return None;
+        }
+        let waits_for_catch_up =
+            cause == FailoverCause::Leaving && self.borders.clock.now() < began + CATCH_UP_TIMEOUT;
+        let newest = self.group.newest_position_sample().map(|it| it.point);
+        if waits_for_catch_up && best.point < newest { None } else { Some(best.clone()) }
+    }
+
+    /// Whether the log of `best` can include all acknowledged writes of the group's newest term.
+    ///
+    /// The member that the previous claim promoted may have led a term later than the claim's `over_term`, and
+    /// may have acknowledged writes that a partitioned instance knows nothing of. A log that does not reach
+    /// beyond `over_term` lacks them. Such a log is accepted only if the promoted member itself shows that it
+    /// never led, or if it has been removed from the group.
+    fn is_up_to_date(&self, best: &Candidate, previous: Option<&Claim>, all: &[Candidate]) -> bool {
+        let Some(previous) = previous else { return true };
+        let is_later = |it: &Candidate| it.point.is_some_and(|it| it.term > previous.over_term);
+        if is_later(best) || best.member == previous.member {
+            return true;
+        }
+        let promoted = all.iter().find(|it| it.member == previous.member);
+        let is_removed = self.group.target(&previous.member).is_none();
+        is_removed || promoted.is_some_and(|it| !is_later(it))
+    }
+
+    fn is_leader(&self, target: &Target) -> bool {
+        self.group.is_leader(&target.member())
+    }
+
+    /// Asks a member where its log ends; `None` if it does not answer now.
+    ///
+    /// An earlier answer is not enough: the member may have followed other terms since.
+    async fn query_candidate(&self, target: &Target) -> Option<Candidate> {
+        let spec = target.spec();
+        let clock = &self.borders.clock;
+        let deadline = clock.now() + POINT_QUERY_TIMEOUT;
+        let received = within(&**clock, deadline, received_point(target, deadline)).await;
+        let received = received.ok().flatten()?;
+        Some(Candidate { member: spec.member.clone(), point: received.max(target.point()) })
+    }
+}
+
+/// The end of the target's log, counting everything that it has received; `None` if the target can't be asked,
+/// and `Some(None)` if its answer has no point, for example when it is busy.
+async fn received_point(target: &Target, deadline: Instant) -> Option<Option<LogPoint>> {
+    // Uses an existing connection: a target at its connection limit refuses a new one.
+    let mut lease = target.pool.take_for_check(&target.spec(), true, deadline).await?.ok()?;
+    let answers = lease.connection()?.exchange(vec![TargetCommand::ReceivedPoint]).await.ok()?;
+    lease.give_back();
+    Some(answers.first()?.point)
+}
--- a/crates/gullspar_direct/src/groups/claim_tracker.rs
+++ b/crates/gullspar_direct/src/groups/claim_tracker.rs
@@ -1,4 +1,4 @@
-//! Who promoted last in a group, and who may next.
+//! Tracks the claims of a group, so that only one instance promotes at a time.
 
 use std::time::Duration;
 
@@ -8,110 +8,111 @@
 use crate::FencingToken;
 
 record! {
-    /// What instances tell each other of the newest claim they know.
+    /// The newest claim that an instance knows of, as sent to other instances.
     pub struct ClaimReport {
         pub token: FencingToken,
         pub holder: InstanceId,
-        /// How long ago its holder acted, in milliseconds. A note that is read late makes the claim look
-        /// younger than it is, which only makes others wait.
+        /// How long ago the holder acted, in milliseconds. A delayed report makes the claim look younger than
+        /// it is, which only makes other instances wait longer.
         pub age_ms: u64,
     }
 }
 
-/// The newest claim that an instance knows of one group.
+/// The claims that this instance knows of for one group.
 #[derive(Clone, Debug)]
 pub struct ClaimTracker {
     lease: Duration,
-    newest: Option<Known>,
-    /// The holder before the newest, which may still be alone.
+    newest: Option<KnownClaim>,
+    /// The claim before the newest, whose lease may still be running.
     ///
-    /// The store may lose a claim with the copy that it comes back from, and show an older one as its newest.
-    before: Option<Known>,
+    /// A store that is restored from an older copy loses claims and may grant a new one while the holder of a
+    /// lost claim is still active.
+    previous: Option<KnownClaim>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownClaim {
     token: FencingToken,
     holder: InstanceId,
     acted_at: BootInstant,
 }
 
 impl ClaimTracker {
-    /// An empty book; a holder that lives is alone for `lease` after it acted.
+    /// Creates an empty tracker. For `lease` after an act, only the holder may act while it is running.
     pub fn new(lease: Duration) -> ClaimTracker {
-        ClaimTracker { lease, newest: None, before: None }
+        ClaimTracker { lease, newest: None, previous: None }
     }
 
-    /// Notes that the claim stands in the store, seen at `at`.
+    /// Records that the store held this claim at `at`.
     ///
-    /// One that is new here may have been made just now. One that is known says nothing of what its holder does:
-    /// taken for an act of it, each look of the others would make it alone again for as long as it lives.
+    /// A claim that is new here may have just been made, so it counts as an act of its holder. Reading a known
+    /// claim again does not: otherwise each read would renew the holder's lease.
     pub fn record_observed(&mut self, token: FencingToken, holder: InstanceId, at: BootInstant) {
         if self.newest.as_ref().is_none_or(|it| it.token < token) {
             self.record_act(token, holder, at);
         }
     }
 
-    /// Notes that `holder` acted with `token` at `at`.
+    /// Records that `holder` acted with `token` at `at`.
     pub fn record_act(&mut self, token: FencingToken, holder: InstanceId, at: BootInstant) {
         match &mut self.newest {
-            Some(known) if known.token > token => {}
-            Some(known) if known.token == token => known.acted_at = known.acted_at.max(at),
+            Some(claim) if claim.token > token => {}
+            Some(claim) if claim.token == token => claim.acted_at = claim.acted_at.max(at),
             _ => {
-                let newest = Known { token, holder, acted_at: at };
-                let before = self.newest.replace(newest);
-                let acted_last =
-                    |it: &Known| self.before.as_ref().is_none_or(|old| it.acted_at >= old.acted_at);
-                if before.as_ref().is_some_and(acted_last) {
-                    self.before = before;
+                let newest = KnownClaim { token, holder, acted_at: at };
+                let replaced = self.newest.replace(newest);
+                let acted_last = |it: &KnownClaim| {
+                    self.previous.as_ref().is_none_or(|old| it.acted_at >= old.acted_at)
+                };
+                if replaced.as_ref().is_some_and(acted_last) {
+                    self.previous = replaced;
                 }
             }
         }
     }
 
-    /// Takes what the instance `from` told at `now`.
+    /// Applies a report that the instance `from` sent and that arrived at `now`.
     ///
-    /// Of a claim that is known here, only its holder tells when it acted last: passed on by others, a note grows
-    /// younger with each delay on its way.
-    pub fn apply_report(&mut self, note: &ClaimReport, from: &InstanceId, now: BootInstant) {
-        let known = self.newest.as_ref().is_some_and(|it| it.token >= note.token);
-        if !known || note.holder == *from {
-            let acted_at = now.minus(Duration::from_millis(note.age_ms));
-            self.record_act(note.token, note.holder.clone(), acted_at);
+    /// For a known claim only reports of its holder count: each instance that forwards a report makes the claim
+    /// look younger by the delay on the way.
+    pub fn apply_report(&mut self, report: &ClaimReport, from: &InstanceId, now: BootInstant) {
+        let is_known = self.newest.as_ref().is_some_and(|it| it.token >= report.token);
+        if !is_known || report.holder == *from {
+            let acted_at = now.minus(Duration::from_millis(report.age_ms));
+            self.record_act(report.token, report.holder.clone(), acted_at);
         }
     }
 
-    /// What to tell others at `now`.
+    /// The report to send to other instances at `now`; `None` if no claim is known.
     pub fn report(&self, now: BootInstant) -> Option<ClaimReport> {
-        let known = self.newest.as_ref()?;
-        let age_ms = now.since(known.acted_at).as_millis() as u64;
-        Some(ClaimReport { token: known.token, holder: known.holder.clone(), age_ms })
+        let newest = self.newest.as_ref()?;
+        let age_ms = now.since(newest.acted_at).as_millis() as u64;
+        Some(ClaimReport { token: newest.token, holder: newest.holder.clone(), age_ms })
     }
 
-    /// Whether anybody acted after `at`.
+    /// Whether the holder of the newest claim acted after `at`.
     pub fn has_act_after(&self, at: BootInstant) -> bool {
         self.newest.as_ref().is_some_and(|it| it.acted_at > at)
     }
 
-    /// Who acted last.
+    /// The holder of the newest claim.
     pub fn holder(&self) -> Option<&InstanceId> {
         self.newest.as_ref().map(|it| &it.holder)
     }
 
-    /// Whether `own` may act at `now`.
+    /// Whether the instance `own` may act at `now`.
     ///
-    /// Two instances that promote by turns would each undo what the other began, seen as a group that
-    /// changes its leader several times in a few seconds. So the last holder goes on alone for a
-    /// while, unless it is gone.
+    /// Two instances that promote alternately undo each other's promotions, and the group changes its leader
+    /// several times in a row. So only the last holder may act until its lease ends or the instance is gone.
     pub fn can_act(
         &self,
         own: &InstanceId,
         now: BootInstant,
-        alive: impl Fn(&InstanceId) -> bool,
+        is_running: impl Fn(&InstanceId) -> bool,
     ) -> bool {
-        let allows = |it: &Known| {
-            it.holder == *own || !alive(&it.holder) || now.since(it.acted_at) >= self.lease
+        let allows = |it: &KnownClaim| {
+            it.holder == *own || !is_running(&it.holder) || now.since(it.acted_at) >= self.lease
         };
-        [&self.newest, &self.before].into_iter().flatten().all(allows)
+        [&self.newest, &self.previous].into_iter().flatten().all(allows)
     }
 }
--- a/crates/gullspar_direct/src/groups/claims.rs
+++ b/crates/gullspar_direct/src/groups/claims.rs
@@ -1,31 +1,32 @@
-//! The right to promote, which the platform's store hands out.
+//! Claims to promote a member, granted by the platform's store, and the orders that carry them out.
 
 use futures::future::LocalBoxFuture;
 use gullspar_model::{GroupName, InstanceId, MemberName, Term, record, value};
 use quick_error::quick_error;
 
 value! {
-    /// A number of the store that grows with every claim; a promotion with a lower one is void.
+    /// A number from the store that grows with every claim; a promotion with a lower one than the highest
+    /// used has no effect.
     pub struct FencingToken(pub u64);
 }
 
 record! {
-    /// Who promotes whom.
+    /// An instance's claim to promote a member.
     pub struct Claim {
         pub holder: InstanceId,
         pub member: MemberName,
-        /// Unique for each claim, so that a holder whose answer was lost knows its own.
+        /// Unique for each claim, so that a holder that got no answer recognises its own claim in the store.
         pub nonce: String,
-        /// The newest term that the holder knew, which its promotion is to supersede.
+        /// The newest term known to the holder, which the promotion supersedes.
         pub over_term: Term,
     }
 }
 
-/// The claim that stands for a group.
+/// The claim that the store holds for a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CurrentClaim {
     pub token: FencingToken,
-    /// `None` if another writer has put something there that is no claim; it can be claimed over.
+    /// `None` if the stored object is not a valid claim; it may be replaced.
     pub claim: Option<Claim>,
 }
 
@@ -33,30 +34,30 @@
     /// Why a claim was not obtained.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum ClaimError {
-        /// Another claim stands; the token is its.
+        /// The store holds another claim, with this token.
         Taken(token: FencingToken) {
-            display("another claim stands with token {}", token.0)
+            display("the store holds another claim, with token {}", token.0)
         }
-        /// The store refused; nothing happened.
+        /// The store refused, and nothing was changed.
         Refused(reason: String) {
             display("the store refused: {reason}")
         }
-        /// No answer came: the claim may stand, and must be read back.
+        /// No answer arrived: the claim may have been stored and must be read back.
         NoAnswer(reason: String) {
             display("no answer from the store: {reason}")
         }
     }
 }
 
-/// Claims in the platform's store, one for each group.
+/// Access to the claims in the platform's store, one for each group.
 pub trait Claims {
-    /// The claim that stands for `group`.
+    /// The claim that the store holds for `group`; `None` if there is none yet.
     fn current<'a>(
         &'a self,
         group: &'a GroupName,
     ) -> LocalBoxFuture<'a, Result<Option<CurrentClaim>, ClaimError>>;
 
-    /// Replaces the claim with token `over`, or makes the first one; gives the new token.
+    /// Replaces the claim with token `over`, or creates the first one, and returns the new token.
     fn claim<'a>(
         &'a self,
         group: &'a GroupName,
@@ -69,24 +70,24 @@
     /// Why a promotion was not ordered.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum PromoteError {
-        /// A higher token was used since, or the member does not run.
+        /// A higher token was used meanwhile, or the member is not running.
         Superseded {
-            display("a higher token was used, or the member does not run")
+            display("a higher token was used, or the member is not running")
         }
-        /// The platform refused; nothing happened.
+        /// The platform refused, and nothing was changed.
         Refused(reason: String) {
             display("the platform refused: {reason}")
         }
-        /// No answer came: the order may be carried out now or seconds later.
+        /// No answer arrived: the order may have been carried out, or may be within seconds.
         NoAnswer(reason: String) {
             display("no answer from the platform: {reason}")
         }
     }
 }
 
-/// Orders promotions.
+/// Orders promotions from the platform.
 pub trait Promoter {
-    /// Orders that `member` leads `group` from now on.
+    /// Orders the promotion of the claim's member in `group`.
     fn promote<'a>(
         &'a self,
         group: &'a GroupName,
--- a/crates/gullspar_direct/src/groups/failover.rs
+++ b/crates/gullspar_direct/src/groups/failover.rs
@@ -1,4 +1,4 @@
-//! Giving a group another leader when its own has failed or leaves.
+//! Replaces the leader of a group when it has failed or is leaving.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -9,7 +9,8 @@
 use crate::fleet::homes;
 use crate::groups::candidate::Candidate;
 use crate::groups::failover_timing::{
-    FAILED_PAUSE, LEADERLESS_FOR, LOOK_EVERY, ORDER_TRIES, TAKES_EFFECT_WITHIN, TURN,
+    CHECK_INTERVAL, LEADERLESS_TIMEOUT, MAX_ORDER_ATTEMPTS, PROMOTION_TIMEOUT, RETRY_DELAY,
+    TURN_DELAY,
 };
 use crate::groups::group::Group;
 use crate::{
@@ -19,129 +20,133 @@
 
 /// Why a group needs another leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Cause {
-    /// The platform no longer lists it.
-    Gone,
-    /// It announced that it will go.
-    Leaves,
-    /// Most instances get no answer from it.
-    Dark,
-    /// Members answer, and none leads.
+pub(crate) enum FailoverCause {
+    /// The platform no longer lists the leader.
+    Removed,
+    /// The leader has announced that it will leave.
+    Leaving,
+    /// At least half of the instances get no answer from the leader.
+    Unresponsive,
+    /// Members answer, and none of them leads.
     NoLeader,
 }
 
-/// Watches over one group's leadership.
+/// Monitors the leader of one group and promotes another member when it is needed.
 pub(crate) struct FailoverCoordinator {
     pub(crate) borders: Borders,
     pub(crate) own: InstanceId,
     pub(crate) peers: Rc<PeerTable>,
     pub(crate) group: Rc<Group>,
     pub(crate) shutdown: Rc<Shutdown>,
-    /// Until then this instance has not looked long enough to judge.
+    /// Until this instant the group has not been observed for long enough to decide.
     pub(crate) settle_until: Instant,
 }
 
 impl FailoverCoordinator {
-    /// Looks and acts until the process ends.
+    /// Checks the group at intervals and after each change, until the group is ended.
     pub(crate) async fn run(self) {
         let clock = Rc::clone(&self.borders.clock);
-        let mut since: Option<(Cause, Instant)> = None;
+        let mut pending: Option<(FailoverCause, Instant)> = None;
         loop {
             let changed = self.group.listen();
-            // Either way it is looked at again.
-            let _ = within(&*clock, clock.now() + LOOK_EVERY, changed).await;
+            // The check follows whether or not something changed.
+            let _ = within(&*clock, clock.now() + CHECK_INTERVAL, changed).await;
             if self.group.is_ended() {
                 return;
             }
-            let Some(cause) = self.cause() else {
-                since = None;
+            let Some(cause) = self.failover_cause() else {
+                pending = None;
                 continue;
             };
-            let began = match since {
+            let began = match pending {
                 Some((known, began)) if known == cause => began,
                 _ => {
-                    since = Some((cause, clock.now()));
+                    pending = Some((cause, clock.now()));
                     clock.now()
                 }
             };
-            if clock.now() >= began + TURN * self.rank() && self.may_act() {
-                self.replace(cause, began).await;
+            if clock.now() >= began + TURN_DELAY * self.rank() && self.can_act() {
+                self.replace_leader(cause, began).await;
             }
         }
     }
 
-    /// Why another leader is needed now, if it is.
-    fn cause(&self) -> Option<Cause> {
+    /// Why the group needs another leader now; `None` if it needs none.
+    fn failover_cause(&self) -> Option<FailoverCause> {
         let now = self.borders.clock.now();
-        let leaving = self.shutdown.phase() != Phase::Serving;
-        // Cut off with some others, it would take its side of the cut for the whole.
-        let cut_off = self.peers.is_isolated(self.borders.clock.boot_now());
-        if now < self.settle_until || leaving || cut_off {
+        let is_leaving = self.shutdown.phase() != Phase::Serving;
+        // In a minority partition the views of the reachable instances are not those of the majority.
+        let is_isolated = self.peers.is_isolated(self.borders.clock.boot_now());
+        if now < self.settle_until || is_leaving || is_isolated {
             return None;
         }
         let leader = self.group.leader();
         let Some(leader) = leader else {
-            let long = now >= self.group.leaderless_since() + LEADERLESS_FOR;
-            let reachable = self.group.targets().iter().any(|it| it.was_heard() && !it.is_dark());
+            let timed_out = now >= self.group.leaderless_since() + LEADERLESS_TIMEOUT;
+            let is_reachable =
+                self.group.targets().iter().any(|it| it.was_heard() && !it.is_dark());
             let boot_now = self.borders.clock.boot_now();
-            let led = self.peers.views.others_see_leader(&self.group.name, boot_now);
-            return (long && reachable && !led && self.agreed(None)).then_some(Cause::NoLeader);
+            let has_leader = self.peers.views.others_see_leader(&self.group.name, boot_now);
+            return (timed_out && is_reachable && !has_leader && self.is_agreed(None))
+                .then_some(FailoverCause::NoLeader);
         };
         match self.group.target(&leader.member) {
-            None => Some(Cause::Gone),
+            None => Some(FailoverCause::Removed),
             Some(target) if target.is_dark() => {
-                self.agreed(Some(&leader.member)).then_some(Cause::Dark)
+                self.is_agreed(Some(&leader.member)).then_some(FailoverCause::Unresponsive)
             }
-            Some(target) if target.spec().leaving => Some(Cause::Leaves),
+            Some(target) if target.spec().leaving => Some(FailoverCause::Leaving),
             Some(_) => None,
         }
     }
 
-    fn agreed(&self, leader: Option<&MemberName>) -> bool {
+    /// Whether enough instances report that `leader` does not work, or that no member leads.
+    fn is_agreed(&self, leader: Option<&MemberName>) -> bool {
         let now = self.borders.clock.boot_now();
-        let ballot = VoteTally {
+        let tally = VoteTally {
             counted: self.peers.views.counted_for(&self.group.name, now),
             against: 1 + self.peers.views.see_no_leader(&self.group.name, leader, now),
         };
-        ballot.verdict() == Verdict::Replace
+        tally.verdict() == Verdict::Replace
     }
 
-    /// Whether no other instance is in the middle of promoting here.
-    fn may_act(&self) -> bool {
+    /// Whether no other instance is promoting a member of this group.
+    fn can_act(&self) -> bool {
         let now = self.borders.clock.boot_now();
-        // One on its way out may be in the middle of a promotion as well.
+        // An instance that is leaving may still be completing a promotion.
         self.group.claims().can_act(&self.own, now, |it| self.peers.is_running(it, now))
     }
 
-    /// This instance's place in the order in which instances act for this group: whoever acted last
-    /// comes first, the others by a hash that spreads the groups over them.
+    /// This instance's rank in the order in which instances act for this group: the holder of the newest claim
+    /// first, then the others by a hash that spreads the groups over the instances.
     fn rank(&self) -> u32 {
         let now = self.borders.clock.boot_now();
-        let mut alive = self.peers.views.looking_at(&self.group.name, now);
-        alive.push(self.own.clone());
-        let last = self.group.claims().holder().cloned();
-        alive.sort_by_key(|it| {
-            (Some(it) != last.as_ref(), homes::weight(self.group.name.as_str(), it))
+        let mut ranking = self.peers.views.looking_at(&self.group.name, now);
+        ranking.push(self.own.clone());
+        let holder = self.group.claims().holder().cloned();
+        ranking.sort_by_key(|it| {
+            (Some(it) != holder.as_ref(), homes::weight(self.group.name.as_str(), it))
         });
-        alive.iter().position(|it| *it == self.own).unwrap_or(0) as u32
+        ranking.iter().position(|it| *it == self.own).unwrap_or(0) as u32
     }
 
-    async fn replace(&self, cause: Cause, began: Instant) {
+    /// Selects a candidate, obtains the claim and orders the promotion.
+    async fn replace_leader(&self, cause: FailoverCause, began: Instant) {
         let clock = Rc::clone(&self.borders.clock);
-        let standing = match self.borders.claims.current(&self.group.name).await {
-            Ok(standing) => standing,
-            Err(err) => return self.failed("reading the claim", &err.to_string()).await,
+        let current = match self.borders.claims.current(&self.group.name).await {
+            Ok(current) => current,
+            Err(err) => return self.back_off("reading the claim", &err.to_string()).await,
         };
-        let before = standing.as_ref().and_then(|it| it.claim.as_ref());
-        let Some(candidate) = self.candidate(cause, began, before).await else {
-            clock.sleep_until(clock.now() + LOOK_EVERY).await;
+        let previous = current.as_ref().and_then(|it| it.claim.as_ref());
+        let Some(candidate) = self.select_candidate(cause, began, previous).await else {
+            clock.sleep_until(clock.now() + CHECK_INTERVAL).await;
             return;
         };
-        let over = standing.as_ref().map(|it| it.token);
-        if let (Some(token), Some(claim)) = (over, before) {
+        let over = current.as_ref().map(|it| it.token);
+        if let (Some(token), Some(claim)) = (over, previous) {
             self.group.claims().record_observed(token, claim.holder.clone(), clock.boot_now());
-            if !self.may_act() {
-                log::info!(group = self.group.name.as_str(), holder = claim.holder.as_str(), token = token.0; "G0761 an instance that lives holds the claim; it is waited for");
+            if !self.can_act() {
+                log::info!(group = self.group.name.as_str(), holder = claim.holder.as_str(), token = token.0; "G0761 a running instance holds the claim; waiting for it to act");
                 return;
             }
         }
@@ -152,117 +157,128 @@
             over_term: self.group.newest_term(),
         };
         log::info!(group = self.group.name.as_str(), member = claim.member.as_str(), cause:? = cause, point:? = candidate.point, leader:? = self.group.newest_position_sample().map(|it| it.point); "G0715 a group needs another leader");
-        let Some(token) = self.obtain(&claim, over).await else { return };
-        if self.cause().is_none() {
-            log::info!(group = self.group.name.as_str(); "G0716 the leader is back; nothing is ordered");
+        let Some(token) = self.obtain_claim(&claim, over).await else { return };
+        if self.failover_cause().is_none() {
+            log::info!(group = self.group.name.as_str(); "G0716 no other leader is needed any more; no promotion is ordered");
             return;
         }
-        let ordered = self.order(&claim, token).await;
-        self.note_act(token);
+        let ordered = self.order_promotion(&claim, token).await;
+        self.record_act(token);
         match ordered {
             Ok(()) => {
                 self.borders.stats.promotion("ordered");
                 self.count_rolled_back(&candidate);
-                log::info!(group = self.group.name.as_str(), member = claim.member.as_str(), token = token.0; "G0717 a promotion is ordered");
-                self.wait_for(&claim.member).await;
+                log::info!(group = self.group.name.as_str(), member = claim.member.as_str(), token = token.0; "G0717 a promotion has been ordered");
+                self.wait_for_leader(&claim.member).await;
             }
             Err(PromoteError::NoAnswer(reason)) => {
                 self.borders.stats.promotion("unanswered");
-                // It may be carried out yet, and more than once does no harm.
-                log::warn!(group = self.group.name.as_str(), token = token.0, reason = reason.as_str(); "G0718 a promotion was not answered");
-                self.wait_for(&claim.member).await;
+                // The order may still be carried out. A repeated order has no further effect.
+                log::warn!(group = self.group.name.as_str(), token = token.0, reason = reason.as_str(); "G0718 the platform did not answer the order of a promotion");
+                self.wait_for_leader(&claim.member).await;
             }
             Err(err) => {
                 self.borders.stats.promotion("refused");
-                self.failed("promoting", &err.to_string()).await;
+                self.back_off("promoting", &err.to_string()).await;
             }
         }
     }
 
-    /// Orders the promotion, again with the same token while no answer comes.
+    /// Orders the promotion, and repeats the order with the same token while no answer arrives.
     ///
-    /// Twice carried out it changes nothing, and one that is carried out seconds late is void once a higher token
-    /// was used. Waited for in vain, a lost order would leave its group without a leader for the time in
-    /// which it might yet show, and the next claim.
-    async fn order(&self, claim: &Claim, token: FencingToken) -> Result<(), PromoteError> {
-        let mut tries = 1;
+    /// Repeating is safe: a second execution changes nothing, and a late one has no effect once a higher token was
+    /// used. Without it a lost order would leave the group without a leader until the next claim.
+    async fn order_promotion(
+        &self,
+        claim: &Claim,
+        token: FencingToken,
+    ) -> Result<(), PromoteError> {
+        let mut attempts = 1;
         loop {
-            self.note_act(token);
+            self.record_act(token);
             let ordered = self.borders.promoter.promote(&self.group.name, claim, token).await;
             let Err(PromoteError::NoAnswer(reason)) = &ordered else { return ordered };
-            // The leader may show, or another instance may act, in the meantime.
-            if tries == ORDER_TRIES || self.cause().is_none() || !self.may_act() {
+            // Meanwhile a leader may have answered, or another instance may have acted.
+            if attempts == MAX_ORDER_ATTEMPTS || self.failover_cause().is_none() || !self.can_act()
+            {
                 return ordered;
             }
-            log::info!(group = self.group.name.as_str(), token = token.0, reason = reason.as_str(), tries = tries; "G0759 a promotion that was not answered is ordered again");
-            tries += 1;
+            log::info!(group = self.group.name.as_str(), token = token.0, reason = reason.as_str(), tries = attempts; "G0759 the platform did not answer the order of a promotion; it is repeated");
+            attempts += 1;
         }
     }
 
-    /// Notes that this instance acts with `token`; told to the others, who wait for a while after each act.
-    fn note_act(&self, token: FencingToken) {
+    /// Records that this instance acts with `token`. Heartbeats report it to the others, which then wait for the
+    /// lease to end.
+    fn record_act(&self, token: FencingToken) {
         self.group.claims().record_act(token, self.own.clone(), self.borders.clock.boot_now());
     }
 
-    /// Counts the commits that the old leader acknowledged and its successor was not seen to have.
+    /// Counts the commits beyond the end of the candidate's log, which the promotion may roll back.
     fn count_rolled_back(&self, candidate: &Candidate) {
-        let (Some(had), Some(has)) = (self.group.newest_position_sample(), candidate.point) else {
+        let (Some(newest), Some(end)) = (self.group.newest_position_sample(), candidate.point)
+        else {
             return;
         };
-        let missing = had.point.position.0.saturating_sub(has.position.0);
-        if had.point.term == has.term && missing > 0 {
-            log::warn!(group = self.group.name.as_str(), commits = missing; "G0744 a failover may undo acknowledged commits");
+        let missing = newest.point.position.0.saturating_sub(end.position.0);
+        if newest.point.term == end.term && missing > 0 {
+            log::warn!(group = self.group.name.as_str(), commits = missing; "G0744 a failover may roll back acknowledged commits");
             self.borders.stats.rolled_back(missing);
         }
     }
 
-    /// Obtains the claim; `None` if another instance has it now.
-    async fn obtain(&self, claim: &Claim, over: Option<FencingToken>) -> Option<FencingToken> {
+    /// Obtains the claim and returns its token; `None` if another instance holds it or the store failed.
+    async fn obtain_claim(
+        &self,
+        claim: &Claim,
+        over: Option<FencingToken>,
+    ) -> Option<FencingToken> {
         let name = &self.group.name;
         match self.borders.claims.claim(name, claim.clone(), over).await {
             Ok(token) => Some(token),
             Err(ClaimError::Taken(token)) => {
-                log::info!(group = name.as_str(), token = token.0; "G0719 another instance promotes");
-                self.wait_for_any().await;
+                log::info!(group = name.as_str(), token = token.0; "G0719 another instance holds the claim and promotes");
+                self.wait_for_recovery().await;
                 None
             }
             Err(ClaimError::NoAnswer(_)) => match self.borders.claims.current(name).await {
                 Ok(Some(found)) if found.claim.as_ref() == Some(claim) => Some(found.token),
                 Ok(_) => None,
                 Err(err) => {
-                    self.failed("reading the claim back", &err.to_string()).await;
+                    self.back_off("reading the claim back", &err.to_string()).await;
                     None
                 }
             },
             Err(err) => {
-                self.failed("claiming", &err.to_string()).await;
+                self.back_off("claiming", &err.to_string()).await;
                 None
             }
         }
     }
 
-    async fn failed(&self, what: &str, reason: &str) {
+    /// Logs the failed step and waits before the next attempt.
+    async fn back_off(&self, what: &str, reason: &str) {
         log::warn!(group = self.group.name.as_str(), what = what, reason = reason; "G0720 replacing a leader failed");
         let clock = &self.borders.clock;
-        clock.sleep_until(clock.now() + FAILED_PAUSE).await;
+        clock.sleep_until(clock.now() + RETRY_DELAY).await;
     }
 
-    /// Waits until `member` leads, but not for ever.
-    async fn wait_for(&self, member: &MemberName) {
+    /// Waits until `member` leads, or until the promotion timeout.
+    async fn wait_for_leader(&self, member: &MemberName) {
         self.wait_until(|| self.group.is_leader(member)).await;
     }
 
-    /// Waits until another instance's promotion shows, but not for ever.
-    async fn wait_for_any(&self) {
-        self.wait_until(|| self.cause().is_none()).await;
+    /// Waits until no other leader is needed any more, or until the promotion timeout.
+    async fn wait_for_recovery(&self) {
+        self.wait_until(|| self.failover_cause().is_none()).await;
     }
 
-    async fn wait_until(&self, reached: impl Fn() -> bool) {
+    async fn wait_until(&self, is_reached: impl Fn() -> bool) {
         let clock = &self.borders.clock;
-        let deadline = clock.now() + TAKES_EFFECT_WITHIN;
-        while clock.now() < deadline && !reached() {
+        let deadline = clock.now() + PROMOTION_TIMEOUT;
+        while clock.now() < deadline && !is_reached() {
             self.group.request_check();
-            clock.sleep_until(clock.now() + LOOK_EVERY).await;
+            clock.sleep_until(clock.now() + CHECK_INTERVAL).await;
         }
     }
 }
--- a/crates/gullspar_direct/src/groups/failover_timing.rs
+++ b/crates/gullspar_direct/src/groups/failover_timing.rs
@@ -1,36 +1,35 @@
-//! The pace of replacing a leader.
+//! Intervals and timeouts of a failover.
 
 use std::time::Duration;
 
-/// Between two looks at whether a group needs another leader.
-pub(crate) const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval between checks of whether a group needs another leader.
+pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a group may be without a leader, while members answer, before one is made.
+/// How long a group may have no leader, while members answer, before one is promoted.
 ///
-/// A promotion that another instance ordered shows as a leaderless moment; acting on it would only
-/// repeat the order.
-pub(crate) const LEADERLESS_FOR: Duration = Duration::from_millis(700);
+/// A promotion that another instance ordered leaves the group without a leader for a moment, which must not
+/// cause a second order.
+pub(crate) const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How much longer each instance waits than the one before it in the group's order, so that usually one
-/// alone asks the store.
-pub(crate) const TURN: Duration = Duration::from_millis(250);
+/// How much longer each instance waits than the one ranked before it, so that usually only one asks the store
+/// for the claim.
+pub(crate) const TURN_DELAY: Duration = Duration::from_millis(250);
 
-/// How long an ordered promotion may take to show before it is ordered anew.
+/// How long an ordered promotion may take to become visible before another one is ordered.
 ///
-/// Members take 600 to 1,000 ms to lead; the rest is the way of the order and of the next check.
-pub(crate) const TAKES_EFFECT_WITHIN: Duration = Duration::from_millis(1800);
+/// Covers the delivery of the order, the promotion itself and the next check of the member.
+pub(crate) const PROMOTION_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// Times that a promotion is ordered in a row with one token while no answer comes: of a platform that loses
-/// half of the answers, one in sixteen loses all.
-pub(crate) const ORDER_TRIES: u32 = 4;
+/// How often a promotion is ordered with the same token while the platform does not answer.
+pub(crate) const MAX_ORDER_ATTEMPTS: u32 = 4;
 
-/// Pause after the store or the platform failed to answer.
-pub(crate) const FAILED_PAUSE: Duration = Duration::from_millis(250);
+/// Delay before the next attempt after the store or the platform failed.
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// How long a candidate may take to tell how far its log reaches.
-pub(crate) const ASK_WITHIN: Duration = Duration::from_millis(150);
+/// How long a candidate may take to report where its log ends.
+pub(crate) const POINT_QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a leader that is leaving may wait for a successor that has all of its log.
+/// How long the replacement of a leaving leader waits for a candidate that has all of its log.
 ///
-/// Leaving members go on serving for about seven seconds; the handover must be over before.
-pub(crate) const CATCH_UP_WITHIN: Duration = Duration::from_millis(4500);
+/// Leaving members keep serving for about seven seconds; the handover must be complete before that.
+pub(crate) const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(4500);
--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -1,4 +1,4 @@
-//! One group of targets and who leads it.
+//! One group of targets and its leader.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::BTreeMap;
@@ -13,14 +13,14 @@
 use crate::targets::target::Target;
 use crate::{ClaimTracker, GroupView, LeaderHealth, Reading, Readings};
 
-/// Who leads, as it said itself.
+/// The leader of a group, as the member itself reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
     pub member: MemberName,
     pub term: Term,
 }
 
-/// A group as this instance sees it.
+/// The state of a group as this instance sees it.
 pub struct Group {
     pub(crate) name: GroupName,
     targets: RefCell<BTreeMap<MemberName, Rc<Target>>>,
@@ -28,20 +28,21 @@
     /// The highest term in which a leader answered.
     newest_term: Cell<Term>,
     leaderless_since: Cell<Instant>,
-    /// When the present leader was first seen to lead.
+    /// When the current leader was first seen to lead.
     led_since: Cell<Option<BootInstant>>,
-    /// Since when no leader answered here, as far as was looked.
+    /// Since when this instance has had no responsive leader, as of the last refresh.
     leader_unavailable_since: Cell<Option<Instant>>,
-    readings: RefCell<Readings>,
+    position_samples: RefCell<Readings>,
     claims: RefCell<ClaimTracker>,
-    /// How long a replica usually needs to have a commit, in microseconds.
+    /// How long a replica typically needs to receive a commit, in microseconds.
     typical_lag_us: Cell<u64>,
-    /// Until then replicas are taken to be too far behind for writes to wait for them.
+    /// Until this instant replicas are considered too far behind for writes to wait for them.
     lagging_until: Cell<Option<Instant>>,
-    /// When a target last refused this instance a connection since it has too many.
+    /// When a target last refused this instance a connection because of its connection limit.
     connection_limit_hit_at: Cell<Option<Instant>>,
-    /// When a target last fell silent here.
+    /// When a target last became unresponsive for this instance.
     last_unresponsive_at: Cell<Option<BootInstant>>,
+    /// When the group is released to other instances; `None` while this instance holds it.
     release_at: Cell<Option<Instant>>,
     ended: Cell<bool>,
     changed: Event,
@@ -59,7 +60,7 @@
             leaderless_since: Cell::new(now),
             led_since: Cell::new(None),
             leader_unavailable_since: Cell::new(None),
-            readings: RefCell::default(),
+            position_samples: RefCell::default(),
             claims: RefCell::new(ClaimTracker::new(lease)),
             typical_lag_us: Cell::new(0),
             lagging_until: Cell::new(None),
@@ -93,12 +94,13 @@
         self.targets.borrow().values().cloned().collect()
     }
 
-    /// What a statement takes of late on the fastest of the group's targets, if any has answered one.
+    /// The recent mean duration of a statement on the fastest of the group's targets; `None` if none has
+    /// answered a statement yet.
     pub(crate) fn fastest_mean(&self) -> Option<Duration> {
         self.targets.borrow().values().filter_map(|it| it.mean()).min()
     }
 
-    /// Who leads.
+    /// The current leader.
     pub fn leader(&self) -> Option<Leader> {
         self.leader.borrow().clone()
     }
@@ -107,13 +109,13 @@
         self.leader.borrow().as_ref().is_some_and(|it| it.member == *member)
     }
 
-    /// The leader's target, if it is there and answers.
+    /// The leader's target, if it is known and responsive.
     pub(crate) fn responsive_leader(&self) -> Option<Rc<Target>> {
         let member = self.leader.borrow().as_ref()?.member.clone();
         self.target(&member).filter(|it| !it.is_dark())
     }
 
-    /// The leader's target, if it may be given new work.
+    /// The leader's target, if it accepts new work.
     pub(crate) fn serving_leader(&self) -> Option<Rc<Target>> {
         self.responsive_leader().filter(|it| !it.is_past_leaving())
     }
@@ -123,18 +125,18 @@
         self.newest_term.get()
     }
 
-    /// Whether the leader has announced that it will go.
+    /// Whether the leader has announced that it will leave.
     pub(crate) fn is_leader_leaving(&self) -> bool {
         let leader = self.leader.borrow().as_ref().and_then(|it| self.target(&it.member));
         leader.is_some_and(|it| it.spec().leaving)
     }
 
-    /// How long to wait before a replica is worth asking for a commit just made.
+    /// How long replicas typically need to receive a commit, and so the delay before the first poll for one.
     pub(crate) fn typical_lag(&self) -> Duration {
         Duration::from_micros(self.typical_lag_us.get())
     }
 
-    /// Whether replicas are known to be too far behind for a write to wait for them.
+    /// Whether replicas are considered too far behind for a write to wait for them.
     pub(crate) fn has_lagging_replicas(&self, now: Instant) -> bool {
         self.lagging_until.get().is_some_and(|until| now < until)
     }
@@ -143,8 +145,10 @@
         self.lagging_until.set(Some(until));
     }
 
-    /// A replica had a commit this long after it was made. What is learnt lies a little below, so that
-    /// a shorter lag is noticed as well.
+    /// Updates the typical lag: a replica was seen to have a commit `took` after it was made.
+    ///
+    /// The sample is reduced by a tenth, because polls start after the typical lag and would never see a shorter
+    /// one otherwise.
     pub(crate) fn update_typical_lag(&self, took: Duration) {
         let sample = took.as_micros() as u64 * 9 / 10;
         self.typical_lag_us.set((self.typical_lag_us.get() * 7 + sample) / 8);
@@ -154,11 +158,12 @@
         self.leaderless_since.get()
     }
 
-    /// Since when this instance has no leader that it can use; `None` if it has one.
+    /// Since when this instance has had no responsive leader; `None` if it has one.
     pub(crate) fn leader_unavailable_since(&self) -> Option<Instant> {
         self.leader_unavailable_since.get()
     }
 
+    /// Updates [`Group::leader_unavailable_since`].
     pub(crate) fn refresh_leader_availability(&self, now: Instant) {
         let since = match self.responsive_leader() {
             Some(_) => None,
@@ -167,89 +172,91 @@
         self.leader_unavailable_since.set(since);
     }
 
-    /// Whether a target has refused this instance a connection since `instant`.
+    /// Whether a target has refused this instance a connection because of its limit since `instant`.
     pub(crate) fn has_hit_connection_limit_since(&self, instant: Instant) -> bool {
         self.connection_limit_hit_at.get().is_some_and(|at| at >= instant)
     }
 
-    /// A target has refused this instance a connection since it has too many.
+    /// Records that a target refused this instance a connection because of its limit.
     pub(crate) fn record_connection_limit(&self, now: Instant) {
         self.connection_limit_hit_at.set(Some(now));
     }
 
-    /// When a target last fell silent here.
+    /// When a target last became unresponsive for this instance.
     pub(crate) fn last_unresponsive_at(&self) -> Option<BootInstant> {
         self.last_unresponsive_at.get()
     }
 
-    /// A target has fallen silent.
+    /// Records that a target became unresponsive.
     pub(crate) fn record_unresponsive(&self, now: BootInstant) {
         self.last_unresponsive_at.set(Some(now));
         self.notify();
     }
 
-    /// `member`, asked at `begun`, answered as the leader with its log at `point`.
+    /// Records that `member`, asked at `begun`, answered as the leader with the end of its log at `point`.
     pub(crate) fn record_leader(&self, member: &MemberName, point: LogPoint, begun: BootInstant) {
         if point.term < self.newest_term.get() {
-            // A late answer of a leader that was superseded meanwhile.
+            // A late answer from a leader that has been superseded.
             return;
         }
         self.newest_term.set(point.term);
-        self.readings.borrow_mut().add(Reading { begun, point });
-        let same = self.leader.borrow().as_ref().is_some_and(|it| it.member == *member);
-        if !same {
-            log::info!(group = self.name.as_str(), member = member.as_str(), term = point.term.0; "G0706 a group is led by");
+        self.position_samples.borrow_mut().add(Reading { begun, point });
+        let is_unchanged = self.leader.borrow().as_ref().is_some_and(|it| it.member == *member);
+        if !is_unchanged {
+            log::info!(group = self.name.as_str(), member = member.as_str(), term = point.term.0; "G0706 a group has a new leader");
             *self.leader.borrow_mut() = Some(Leader { member: member.clone(), term: point.term });
             self.led_since.set(Some(begun));
             self.notify();
         }
     }
 
-    /// `member` said that it does not lead.
+    /// Records that `member` answered that it does not lead.
     pub(crate) fn record_not_leader(&self, member: &MemberName, now: Instant) {
         if !self.is_leader(member) {
             return;
         }
-        log::info!(group = self.name.as_str(), member = member.as_str(); "G0707 a group's leader leads no more");
+        log::info!(group = self.name.as_str(), member = member.as_str(); "G0707 a group's leader no longer leads");
         *self.leader.borrow_mut() = None;
         self.leaderless_since.set(now);
         self.notify();
     }
 
-    /// Takes a position that a leader gave with an answer.
+    /// Adds a position that the leader returned with an answer to a request sent at `begun`.
     pub(crate) fn add_position_sample(&self, point: LogPoint, begun: BootInstant) {
         if point.term >= self.newest_term.get() {
-            self.readings.borrow_mut().add(Reading { begun, point });
+            self.position_samples.borrow_mut().add(Reading { begun, point });
         }
     }
 
-    /// The oldest reading that covers everything older than `max_age`.
+    /// The oldest position sample taken at most `max_age` before `now`: it covers every commit acknowledged
+    /// before that age.
     pub(crate) fn position_sample_within(
         &self,
         now: BootInstant,
         max_age: Duration,
     ) -> Option<Reading> {
-        self.readings.borrow().oldest_within(now, max_age)
+        self.position_samples.borrow().oldest_within(now, max_age)
     }
 
-    /// The newest reading of the leader.
+    /// The newest position sample of the leader.
     pub(crate) fn newest_position_sample(&self) -> Option<Reading> {
-        self.readings.borrow().newest()
+        self.position_samples.borrow().newest()
     }
 
-    /// What is known of the group's claims.
+    /// The claims known for the group.
     pub(crate) fn claims(&self) -> RefMut<'_, ClaimTracker> {
         self.claims.borrow_mut()
     }
 
-    /// Whether somebody has set about replacing the present leader.
+    /// Whether another leader may have been ordered: a claim holder has acted within the promotion timeout and
+    /// since the current leader was first seen.
     pub(crate) fn is_being_replaced(&self, now: BootInstant) -> bool {
-        let lately = now.minus(failover_timing::TAKES_EFFECT_WITHIN);
-        let since = self.led_since.get().map_or(lately, |it| it.max(lately));
+        let earliest = now.minus(failover_timing::PROMOTION_TIMEOUT);
+        let since = self.led_since.get().map_or(earliest, |it| it.max(earliest));
         self.claims.borrow().has_act_after(since)
     }
 
-    /// What other instances are told of this group.
+    /// The view of this group to send to other instances.
     pub(crate) fn view(
         &self,
         now: Instant,
@@ -269,7 +276,7 @@
         GroupView { group: self.name.clone(), leader, health, claim }
     }
 
-    /// When the group is given up to other instances, if it is.
+    /// When the group is released to other instances; `None` while this instance holds it.
     pub(crate) fn release_at(&self) -> Option<Instant> {
         self.release_at.get()
     }
@@ -278,7 +285,7 @@
         self.release_at.set(at);
     }
 
-    /// Nobody looks after the group here any more.
+    /// Marks the group as no longer held by this instance, which ends its failover coordinator.
     pub(crate) fn end(&self) {
         self.ended.set(true);
         self.notify();
@@ -288,17 +295,17 @@
         self.ended.get()
     }
 
-    /// Something about the group changed.
+    /// Wakes everything that waits for a change of the group.
     pub(crate) fn notify(&self) {
         self.changed.notify(usize::MAX);
     }
 
-    /// Notified when the leader changes or its state does.
+    /// Listens for a change of the leader or of its state.
     pub(crate) fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// A replica told where its log ends.
+    /// Wakes everything that waits for a replica's position.
     pub(crate) fn notify_progress(&self) {
         self.progress.notify(usize::MAX);
     }
@@ -307,7 +314,7 @@
         self.progress.listen()
     }
 
-    /// Has all members checked at once.
+    /// Requests an immediate check of all members.
     pub(crate) fn request_check(&self) {
         self.check_requested.notify(usize::MAX);
     }
--- a/crates/gullspar_direct/src/groups/votes.rs
+++ b/crates/gullspar_direct/src/groups/votes.rs
@@ -1,28 +1,28 @@
-//! Whether enough instances see that a group needs another leader.
+//! Decides whether enough instances agree that a group needs another leader.
 
-/// What the instances say of one group's leader.
+/// How many instances report that a group's leader does not work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteTally {
-    /// Instances that count, this one included.
+    /// Instances whose report counts, including this one.
     pub counted: usize,
-    /// Those of them that see no working leader, this one included.
+    /// Those of them that see no working leader, including this one.
     pub against: usize,
 }
 
-/// What follows from a ballot.
+/// The decision that follows from a tally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Most instances can't be served by this leader.
+    /// At least half of the instances can't use the leader.
     Replace,
-    /// The trouble is on our side, or not agreed on yet.
+    /// The failure may be on this instance's side, or too few instances have reported it yet.
     Wait,
 }
 
 impl VoteTally {
-    /// Replaces a leader that at least half of the instances can't use.
+    /// Decides to replace a leader that at least half of the instances can't use.
     ///
-    /// One instance's view is not enough: an instance that is cut off or slow would move a healthy
-    /// leader away from everybody else, seen as a second without writes for each such move.
+    /// One instance's view is not enough: an instance that is partitioned or slow would replace a healthy leader
+    /// and interrupt writes for all others.
     pub fn verdict(self) -> Verdict {
         if 2 * self.against >= self.counted { Verdict::Replace } else { Verdict::Wait }
     }
