--- a/crates/gullspar_direct/src/writing/confirmation.rs
+++ b/crates/gullspar_direct/src/writing/confirmation.rs
@@ -1,8 +1,8 @@
-//! Holding the success of a write back until a replica has it.
+//! Delays the success of a write until a replica has received its commit.
 //!
-//! Targets acknowledge a commit by the leader's word alone. If the leader fails before a replica has
-//! received the commit, its successor never had it, and a booking that was confirmed is gone. What is
-//! promised, and what is not, stands in `docs/promises.md`.
+//! Replication is asynchronous: a leader answers a commit before any replica has it. If the leader fails before a
+//! replica has received the commit, the next leader lacks it and an acknowledged write is lost. The guarantees are
+//! described in `docs/promises.md`.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,46 +17,43 @@
 
 /// How long a write waits for a replica.
 ///
-/// Long enough for a replica that keeps up, and short before what callers want. With replicas that receive nothing a
-/// write is acknowledged by the leader alone after this time, and counted.
-const CONFIRM_WITHIN: Duration = Duration::from_millis(80);
+/// After this time a write may be acknowledged although only the leader has it; such writes are counted.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// How long a write waits while replicas are known to be further behind than that: the full wait would
-/// end the same way and make the caller late.
-const LAGGING_WAIT: Duration = Duration::from_millis(5);
+/// How long a write waits for a replica while the replicas are known to lag by more than [`CONFIRM_TIMEOUT`].
+const LAGGING_CONFIRM_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// How long replicas that were too far behind for one write are taken to be so for others.
-const LAG_HOLDS_FOR: Duration = Duration::from_millis(500);
+/// How long replicas count as lagging after one write waited for them without success.
+const LAGGING_TTL: Duration = Duration::from_millis(500);
 
-/// Pause after the first look at the replicas for one write; it doubles with each further look, so that
-/// replicas that are far behind are not asked twenty times for nothing.
-const FIRST_PAUSE: Duration = Duration::from_millis(5);
+/// Delay after the first poll of the replicas for one write. It doubles with each poll, so that replicas that are
+/// far behind are not polled too often.
+const FIRST_POLL_DELAY: Duration = Duration::from_millis(5);
 
-/// Between two looks at whether a commit that only its leader has may be acknowledged; heartbeats come
-/// four times as seldom.
-const VOUCH_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between checks of whether a commit that only its leader has may be acknowledged.
+const LEADER_ONLY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A commit that its leader has answered.
+/// A commit that the leader has answered.
 #[derive(Clone, Debug)]
 pub(crate) struct Commit {
-    /// The leader that made it.
+    /// The leader that executed the commit.
     pub(crate) leader: MemberName,
     pub(crate) point: LogPoint,
 }
 
-/// How a commit stands with the replicas.
+/// Whether a commit would survive the failure of its leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommitStatus {
-    /// Whoever leads next has it.
+    /// The next leader will have the commit.
     Replicated,
-    /// No replica was seen to have it in time, its leader leads still, and nobody is about to replace it.
+    /// No replica was seen to have the commit in time, but its leader still leads and is not being replaced.
     LeaderOnly,
-    /// Another term has begun, or may be about to, and it can't be told whether its log has the commit.
+    /// Another term has begun or may begin, and it is unknown whether its log has the commit.
     Superseded,
 }
 
 impl Proxy {
-    /// Waits until `commit` would survive its leader, or until `deadline`.
+    /// Waits until `commit` would survive the failure of its leader, or until `deadline`.
     pub(crate) async fn confirm_commit(
         &self,
         group: &Rc<Group>,
@@ -65,137 +62,143 @@
     ) -> CommitStatus {
         let clock = &self.borders.clock;
         let point = commit.point;
-        let (asked, boot_asked) = (clock.now(), clock.boot_now());
-        let wait = if group.has_lagging_replicas(asked) { LAGGING_WAIT } else { CONFIRM_WITHIN };
-        let mut alone_at = asked + wait;
-        let mut look_at = asked + group.typical_lag();
-        let mut pause = FIRST_PAUSE;
+        let (started, boot_started) = (clock.now(), clock.boot_now());
+        let wait = if group.has_lagging_replicas(started) {
+            LAGGING_CONFIRM_TIMEOUT
+        } else {
+            CONFIRM_TIMEOUT
+        };
+        let mut leader_only_at = started + wait;
+        let mut poll_at = started + group.typical_lag();
+        let mut poll_delay = FIRST_POLL_DELAY;
         loop {
             let progress = group.listen_progress();
-            if let Some(standing) = standing(group, commit) {
-                if standing == CommitStatus::Replicated {
-                    group.update_typical_lag(clock.now().saturating_duration_since(asked));
+            if let Some(status) = commit_status(group, commit) {
+                if status == CommitStatus::Replicated {
+                    group.update_typical_lag(clock.now().saturating_duration_since(started));
                 }
-                return standing;
+                return status;
             }
             let now = clock.now();
-            if now >= alone_at || staying(group).is_empty() {
+            if now >= leader_only_at || successor_candidates(group).is_empty() {
                 if group.leader().is_some() && !self.still_leads(group, commit).await {
                     return CommitStatus::Superseded;
                 }
-                if self.may_stand_alone(group, boot_asked) {
-                    self.note_alone(group, point, wait);
+                if self.can_acknowledge_alone(group, boot_started) {
+                    self.record_leader_only(group, point, wait);
                     return CommitStatus::LeaderOnly;
                 }
                 if now >= deadline {
-                    log::warn!(group = group.name.as_str(), term = point.term.0, position = point.position.0; "G0756 a commit is held by its leader alone, and another leader may have been ordered");
+                    log::warn!(group = group.name.as_str(), term = point.term.0, position = point.position.0; "G0756 only the leader has a commit, and another leader may have been ordered");
                     return CommitStatus::Superseded;
                 }
-                alone_at = (now + VOUCH_PAUSE).min(deadline);
+                leader_only_at = (now + LEADER_ONLY_CHECK_INTERVAL).min(deadline);
             }
-            if now >= look_at {
-                look(&self.borders, group, point);
-                look_at = now + pause;
-                pause *= 2;
+            if now >= poll_at {
+                poll_replicas(&self.borders, group, point);
+                poll_at = now + poll_delay;
+                poll_delay *= 2;
             }
-            // Either way it is looked at again.
-            let _ = within(&**clock, look_at.min(alone_at), progress).await;
+            // The loop checks again whether or not a replica made progress.
+            let _ = within(&**clock, poll_at.min(leader_only_at), progress).await;
         }
     }
 
-    /// Whether a write that is sent to the leader now can be acknowledged at all.
-    pub(crate) fn can_confirm(&self, group: &Group) -> bool {
+    /// Whether the commit of a write that is sent to the leader now could be acknowledged.
+    pub(crate) fn can_confirm_commits(&self, group: &Group) -> bool {
         let now = self.borders.clock.boot_now();
-        !staying(group).is_empty() || self.may_stand_alone(group, now)
+        !successor_candidates(group).is_empty() || self.can_acknowledge_alone(group, now)
     }
 
-    fn note_alone(&self, group: &Group, point: LogPoint, wait: Duration) {
-        log::info!(group = group.name.as_str(), term = point.term.0, position = point.position.0; "G0745 a commit is acknowledged by the leader alone");
+    fn record_leader_only(&self, group: &Group, point: LogPoint, wait: Duration) {
+        log::info!(group = group.name.as_str(), term = point.term.0, position = point.position.0; "G0745 a commit is acknowledged although only the leader has it");
         self.borders.stats.acknowledged_alone();
-        if wait == CONFIRM_WITHIN {
-            group.record_lagging_until(self.borders.clock.now() + LAG_HOLDS_FOR);
+        if wait == CONFIRM_TIMEOUT {
+            group.record_lagging_until(self.borders.clock.now() + LAGGING_TTL);
         }
     }
 
-    /// Whether the word of the leader alone is good enough for a commit made at `asked`: nobody has set about
-    /// replacing it, and no cut can lie between this instance with the leader and most others.
+    /// Whether a commit whose confirmation began at `started` may be acknowledged although only the leader has it:
+    /// the leader is not being replaced, and no partition can separate this instance and the leader from most
+    /// other instances.
     ///
-    /// Behind a cut, an instance that is alone with the leader hears nothing of the promotion that the
-    /// others order. What it acknowledged from the cut on until the promotion took effect would be
-    /// rolled back, seen as confirmed bookings that are gone.
-    fn may_stand_alone(&self, group: &Group, asked: BootInstant) -> bool {
+    /// An instance that is partitioned together with the leader does not learn of a promotion that the other
+    /// instances order. Commits that it acknowledged between the start of the partition and that promotion would
+    /// be rolled back.
+    fn can_acknowledge_alone(&self, group: &Group, started: BootInstant) -> bool {
         let Some(leader) = group.leader() else { return false };
         let now = self.borders.clock.boot_now();
-        let replicas = staying(group);
-        let no_cut_since = if replicas.iter().any(|it| it.heard_since(asked)) {
-            // They are only behind.
+        let replicas = successor_candidates(group);
+        let views_since = if replicas.iter().any(|it| it.heard_since(started)) {
+            // A replica answers, so the replicas only lag.
             BootInstant::MACHINE_START
         } else if replicas.is_empty() {
-            // What was said before the last of them fell silent may be from before a cut.
+            // Views sent before the last replica became unresponsive may be older than a partition.
             group.last_unresponsive_at().unwrap_or(BootInstant::MACHINE_START)
         } else {
-            asked
+            started
         };
         !group.is_being_replaced(now)
-            && self.peers.views.vouch_for(&group.name, &leader.member, no_cut_since, now)
+            && self.peers.views.vouch_for(&group.name, &leader.member, views_since, now)
     }
 
-    /// Whether the leader that made `commit` leads now, as it says itself.
+    /// Asks the leader that executed `commit` whether it still leads in the same term and has the commit.
     async fn still_leads(&self, group: &Rc<Group>, commit: &Commit) -> bool {
         let leader = group.responsive_leader().filter(|it| it.member() == commit.leader);
         let Some(leader) = leader else { return false };
         target_watch::leads(&self.borders, group, &leader).await
             && group.newest_term() == commit.point.term
             && group.is_leader(&commit.leader)
-            // One that has started anew meanwhile may lead without it.
+            // A leader that has restarted meanwhile may lead without the commit.
             && leader.point() >= Some(commit.point)
     }
 }
 
-/// How the commit stands by what is known now; `None` if more may be learnt.
-fn standing(group: &Group, commit: &Commit) -> Option<CommitStatus> {
+/// The status of the commit as known now; `None` while it is undecided.
+fn commit_status(group: &Group, commit: &Commit) -> Option<CommitStatus> {
     let point = commit.point;
     if group.newest_term() > point.term {
         return Some(CommitStatus::Superseded);
     }
     if !group.is_leader(&commit.leader) {
-        return stands_with_successor(group, point);
+        return status_with_successor(group, point);
     }
-    let replicas = staying(group);
-    let mut held = replicas.iter().map(|it| has(it, point));
-    // A leader that leaves hands over to one of them, and it is not known to which.
-    let held = match group.is_leader_leaving() {
-        true => !replicas.is_empty() && held.all(|it| it),
-        false => held.any(|it| it),
+    let replicas = successor_candidates(group);
+    let mut received = replicas.iter().map(|it| has_commit(it, point));
+    // Any of the replicas may replace a leaving leader, so all of them need the commit.
+    let is_replicated = match group.is_leader_leaving() {
+        true => !replicas.is_empty() && received.all(|it| it),
+        false => received.any(|it| it),
     };
-    held.then_some(CommitStatus::Replicated)
+    is_replicated.then_some(CommitStatus::Replicated)
 }
 
-/// How a commit stands whose leader leads no more; `None` until its successor is known.
+/// The status of a commit whose leader no longer leads; `None` until the successor is known.
 ///
-/// Only the successor counts: other replicas, and the old leader itself, lose what it lacks. Until its first commit
-/// it shows how far its log reaches in the old term.
-fn stands_with_successor(group: &Group, point: LogPoint) -> Option<CommitStatus> {
+/// Only the successor's log counts: all other members drop what it lacks. Until its first commit the successor
+/// reports the end of its log in the old term.
+fn status_with_successor(group: &Group, point: LogPoint) -> Option<CommitStatus> {
     let successor = group.target(&group.leader()?.member);
-    let held = successor.is_some_and(|it| has(&it, point));
-    Some(if held { CommitStatus::Replicated } else { CommitStatus::Superseded })
+    let is_replicated = successor.is_some_and(|it| has_commit(&it, point));
+    Some(if is_replicated { CommitStatus::Replicated } else { CommitStatus::Superseded })
 }
 
-fn has(target: &Target, point: LogPoint) -> bool {
+/// Whether the target is known to have the commit at `point`.
+fn has_commit(target: &Target, point: LogPoint) -> bool {
     target.point().is_some_and(|it| it.term == point.term && it.position >= point.position)
 }
 
-/// The replicas that may lead next.
-fn staying(group: &Group) -> Vec<Rc<Target>> {
-    let stays = |it: &Rc<Target>| {
+/// The replicas that may become the next leader.
+fn successor_candidates(group: &Group) -> Vec<Rc<Target>> {
+    let can_lead = |it: &Rc<Target>| {
         !group.is_leader(&it.member()) && !it.spec().leaving && !it.is_dark() && it.was_heard()
     };
-    group.targets().into_iter().filter(stays).collect()
+    group.targets().into_iter().filter(can_lead).collect()
 }
 
 /// Asks the replicas that are not known to have the commit where their logs end.
-fn look(borders: &Borders, group: &Rc<Group>, point: LogPoint) {
-    for target in staying(group).into_iter().filter(|it| !has(it, point)) {
+fn poll_replicas(borders: &Borders, group: &Rc<Group>, point: LogPoint) {
+    for target in successor_candidates(group).into_iter().filter(|it| !has_commit(it, point)) {
         if target.looking.replace(true) {
             continue;
         }
--- a/crates/gullspar_direct/src/writing/mod.rs
+++ b/crates/gullspar_direct/src/writing/mod.rs
@@ -1,4 +1,4 @@
-//! Writes and transactions, and when their success may be told.
+//! Writes and transactions, and the confirmation of their commits.
 
 pub(crate) mod confirmation;
 pub(crate) mod transaction;
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -1,7 +1,7 @@
 //! Transactions of callers.
 //!
-//! A target is taken only when the first statement comes: callers pause after BEGIN as well, and a
-//! connection held meanwhile would be missing to others.
+//! A connection is taken only for the first statement: callers also pause after BEGIN, and a connection held
+//! during that pause would not be available to others.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -19,15 +19,15 @@
 use crate::targets::connection_pool::Lease;
 use crate::{Freshness, Proxy};
 
-/// Pause before the target that holds a transaction is asked again after it was too busy.
-const BUSY_PAUSE: Duration = Duration::from_millis(15);
+/// Delay before a statement of an open transaction is sent again to a target that was too busy.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(15);
 
-/// Pause before another place is looked for when none can take the transaction.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
+/// Delay before target selection is repeated when no target can take the transaction.
+const SELECTION_RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// A connection inside a transaction.
-struct Held {
-    around: Surroundings,
+/// The connection that a transaction is open on.
+struct OpenConnection {
+    context: Surroundings,
     lease: Lease,
 }
 
@@ -35,27 +35,27 @@
 pub(crate) struct Transaction {
     group: Rc<Group>,
     read_only: bool,
-    held: Option<Held>,
+    connection: Option<OpenConnection>,
     begun: bool,
     failed: bool,
     wrote: bool,
-    /// It counts against its customer's limit already.
+    /// Whether the transaction has been charged to its customer's limit.
     pub(crate) charged: bool,
-    /// Where it runs.
+    /// The target that runs the transaction, for the log.
     pub(crate) trace: Trace,
 }
 
-/// Why a transaction did not begin at one place; another may be tried.
-enum NotBegun {
+/// Why a transaction did not begin on one target; another target may be tried.
+enum BeginError {
     NotRun(NotRun),
-    /// Its first statement failed there.
+    /// The first statement failed on the target.
     Failed(Answer),
 }
 
-/// How the end of a transaction went.
-pub(crate) struct Ended {
+/// The outcome of a commit.
+pub(crate) struct CommitOutcome {
     pub(crate) answer: Answer,
-    /// It succeeded, and something was written.
+    /// Whether the commit succeeded and the transaction had written something.
     pub(crate) wrote: bool,
 }
 
@@ -64,7 +64,7 @@
         Transaction {
             group,
             read_only,
-            held: None,
+            connection: None,
             begun: false,
             failed: false,
             wrote: false,
@@ -84,12 +84,12 @@
     /// Runs a statement inside the transaction.
     pub(crate) async fn run(&mut self, proxy: &Rc<Proxy>, req: &Request) -> Answer {
         if self.read_only && req.access == Access::Write {
-            let text = "the transaction only reads";
+            let text = "the transaction is read-only";
             return self.fail(Failure::new(FailureCode::ReadOnly, text));
         }
         self.wrote |= req.access == Access::Write;
         let mut answer = if self.begun {
-            self.go_on(proxy, req).await
+            self.run_on_connection(proxy, req).await
         } else {
             self.begin_and_run(proxy, req).await
         };
@@ -98,85 +98,85 @@
         answer
     }
 
-    /// Commits.
-    pub(crate) async fn commit(mut self, proxy: &Rc<Proxy>, req: &Request) -> Ended {
+    /// Commits the transaction.
+    pub(crate) async fn commit(mut self, proxy: &Rc<Proxy>, req: &Request) -> CommitOutcome {
         if self.failed {
             let failure = refusal::rolled_back("the transaction had failed");
             self.roll_back();
-            return Ended::refused(failure);
+            return CommitOutcome::refused(failure);
         }
-        if self.wrote && !proxy.can_confirm(&self.group) {
-            // Committed, it could not be told to have succeeded; rolled back, the caller may try elsewhere.
+        if self.wrote && !proxy.can_confirm_commits(&self.group) {
+            // A commit could not be acknowledged. After a rollback the caller may retry through another instance.
             let failure = refusal::rolled_back("the leader may be about to be replaced");
             log::info!(request = req.id.as_str(), group = self.group.name.as_str(), reason = failure.text.as_str(); "G0726 a transaction is refused");
             self.roll_back();
-            return Ended::refused(failure);
+            return CommitOutcome::refused(failure);
         }
         let mut answer = if self.begun {
-            self.go_on(proxy, req).await
+            self.run_on_connection(proxy, req).await
         } else {
             self.begin_and_run(proxy, req).await
         };
         let succeeded = answer.result.is_ok();
         if succeeded {
-            if let Some(held) = self.held.take() {
-                held.lease.give_back();
+            if let Some(connection) = self.connection.take() {
+                connection.lease.give_back();
             }
         } else {
             self.roll_back();
         }
         answer.status = TransactionStatus::Idle;
-        Ended { answer, wrote: succeeded && self.wrote }
+        CommitOutcome { answer, wrote: succeeded && self.wrote }
     }
 
-    /// Ends the transaction without keeping anything; nobody has to wait for it.
+    /// Rolls the transaction back in the background.
     pub(crate) fn roll_back(&mut self) {
-        if let Some(held) = self.held.take() {
-            let Held { around, lease } = held;
-            compio::runtime::spawn(async move { around.roll_back(lease).await }).detach();
+        if let Some(connection) = self.connection.take() {
+            let OpenConnection { context, lease } = connection;
+            compio::runtime::spawn(async move { context.roll_back(lease).await }).detach();
         }
     }
 
-    /// Fails it: nothing of it will be kept.
+    /// Marks the transaction as failed, so that it can only be rolled back.
     pub(crate) fn fail(&mut self, failure: Failure) -> Answer {
         self.failed = true;
         Answer::failed(failure, TransactionStatus::Failed)
     }
 
-    /// Runs a statement on the connection that the transaction has.
-    async fn go_on(&mut self, proxy: &Proxy, req: &Request) -> Answer {
+    /// Runs a statement on the connection that the transaction is open on.
+    async fn run_on_connection(&mut self, proxy: &Proxy, req: &Request) -> Answer {
         let clock = &proxy.borders.clock;
         loop {
-            let Some(Held { around, lease }) = self.held.take() else {
+            let Some(OpenConnection { context, lease }) = self.connection.take() else {
                 return self.fail(refusal::rolled_back("the transaction was lost"));
             };
-            // It may hold what others wait for, so it goes before them.
-            let permit = around.target.admission.enter_now();
-            let result = around.run_raw(req, permit, lease, None).await;
+            // An open transaction may hold locks that others wait for, so it does not queue behind them.
+            let permit = context.target.admission.enter_now();
+            let result = context.run_raw(req, permit, lease, None).await;
             let (answer, lease) = match result {
                 Ok(answered) => answered,
                 Err(end) => {
                     proxy.borders.stats.transaction_lost();
-                    return self.lost(req, &end);
+                    return self.fail_lost(req, &end);
                 }
             };
             if let Some(lease) = lease {
-                self.held = Some(Held { around, lease });
+                self.connection = Some(OpenConnection { context, lease });
             }
-            let busy = answer.result.as_ref().is_err_and(|it| it.code == FailureCode::Congested);
-            let again = clock.now() + BUSY_PAUSE;
-            if !busy || answer.status != TransactionStatus::Open || again >= req.deadline {
+            let is_busy = answer.result.as_ref().is_err_and(|it| it.code == FailureCode::Congested);
+            let retry_at = clock.now() + BUSY_RETRY_DELAY;
+            if !is_busy || answer.status != TransactionStatus::Open || retry_at >= req.deadline {
                 return answer;
             }
-            clock.sleep_until(again).await;
+            clock.sleep_until(retry_at).await;
         }
     }
 
-    /// The connection is gone in the middle of a statement.
+    /// Fails the transaction after its connection was lost during a statement.
     ///
-    /// Before a commit was sent, and where nothing was written, nothing can be kept any more.
-    fn lost(&mut self, req: &Request, end: &End) -> Answer {
-        log::info!(request = req.id.as_str(), group = self.group.name.as_str(), wrote = self.wrote; "G0725 a transaction's connection is lost");
+    /// The outcome is unknown only if a commit was sent and something was written; otherwise it is rolled back.
+    fn fail_lost(&mut self, req: &Request, end: &End) -> Answer {
+        log::info!(request = req.id.as_str(), group = self.group.name.as_str(), wrote = self.wrote; "G0725 a transaction's connection was lost");
         let failure = match end {
             End::Lost if req.commits && self.wrote => {
                 refusal::unknown("the connection broke at commit")
@@ -187,44 +187,45 @@
         self.fail(failure)
     }
 
-    /// Opens the transaction somewhere and runs its first statement there.
+    /// Opens the transaction on a target and runs its first statement there, trying other targets on failure.
     async fn begin_and_run(&mut self, proxy: &Rc<Proxy>, req: &Request) -> Answer {
         let clock = &proxy.borders.clock;
         let mut tried: Vec<MemberName> = Vec::new();
-        let mut last = NotRun::NoPrimary;
-        let mut failed = None;
+        let mut last_reason = NotRun::NoPrimary;
+        let mut failed_answer = None;
         while clock.now() < req.deadline {
-            let Some(place) = self.place(proxy, req, &tried) else {
+            let Some(place) = self.select_target(proxy, req, &tried) else {
                 if proxy.is_hopeless(&self.group) {
                     break;
                 }
                 tried.clear();
-                let pause = (clock.now() + LOOK_AGAIN).min(req.deadline);
-                // Either way a place is looked for again.
-                let _ = within(&**clock, pause, self.group.listen()).await;
+                let retry_at = (clock.now() + SELECTION_RETRY_DELAY).min(req.deadline);
+                // Selection is repeated whether or not the group changed.
+                let _ = within(&**clock, retry_at, self.group.listen()).await;
                 continue;
             };
             tried.push(place.target.member());
             place.note(&mut self.trace);
-            match self.begin_at(proxy, req, place).await {
+            match self.begin_on(proxy, req, place).await {
                 Ok(answer) => {
                     self.begun = true;
                     return answer;
                 }
-                Err(NotBegun::NotRun(reason)) => last = reason,
-                Err(NotBegun::Failed(answer)) if failed.is_some() => return answer,
-                Err(NotBegun::Failed(answer)) => failed = Some(answer),
+                Err(BeginError::NotRun(reason)) => last_reason = reason,
+                Err(BeginError::Failed(answer)) if failed_answer.is_some() => return answer,
+                Err(BeginError::Failed(answer)) => failed_answer = Some(answer),
             }
         }
-        if let Some(answer) = failed {
+        if let Some(answer) = failed_answer {
             return answer;
         }
-        let failure = refusal::not_run(last);
+        let failure = refusal::not_run(last_reason);
         log::info!(request = req.id.as_str(), group = self.group.name.as_str(), reason = failure.text.as_str(); "G0726 a transaction is refused");
         self.fail(failure)
     }
 
-    fn place(&self, proxy: &Proxy, req: &Request, tried: &[MemberName]) -> Option<Place> {
+    /// Selects a target that has not been tried yet.
+    fn select_target(&self, proxy: &Proxy, req: &Request, tried: &[MemberName]) -> Option<Place> {
         if self.read_only && req.freshness != Freshness::Latest {
             return proxy.place(&self.group, req, tried);
         }
@@ -232,21 +233,23 @@
         Some(Place { target, at_least: None, reading_age: None })
     }
 
-    /// Tries one place. Whatever went wrong there, nothing of the transaction is kept: its connection is
-    /// closed, and nothing was told to the caller, so that another place may be tried.
-    async fn begin_at(
+    /// Tries to begin the transaction on one target.
+    ///
+    /// After an error nothing of the transaction remains there and the caller has got no answer, so another target
+    /// may be tried.
+    async fn begin_on(
         &mut self,
         proxy: &Rc<Proxy>,
         req: &Request,
         place: Place,
-    ) -> Result<Answer, NotBegun> {
+    ) -> Result<Answer, BeginError> {
         let permit = place.target.admit(req).await?;
-        let around = Surroundings {
+        let context = Surroundings {
             borders: proxy.borders.clone(),
             group: Rc::clone(&self.group),
             target: Rc::clone(&place.target),
         };
-        let mut lease = around.lease(req, req.deadline).await?;
+        let mut lease = context.lease(req, req.deadline).await?;
         let begin = match place.at_least {
             None => TargetCommand::Begin,
             Some(_) => TargetCommand::BeginReadOnly {
@@ -254,51 +257,52 @@
             },
         };
         if let TargetCommand::BeginReadOnly { at_least: Some(point) } = begin {
-            let begun = around.open_transaction(req, &mut lease, begin).await;
+            let begun = context.open_transaction(req, &mut lease, begin).await;
             if let Err(End::NotRun(NotRun::Behind)) = begun {
                 place.target.note_behind(point, proxy.borders.clock.now());
             }
-            begun.map_err(reason_of)?;
+            begun.map_err(not_run_reason)?;
         } else {
-            around.open_transaction(req, &mut lease, begin).await.map_err(reason_of)?;
+            context.open_transaction(req, &mut lease, begin).await.map_err(not_run_reason)?;
         }
         let started: Instant = proxy.borders.clock.now();
-        let result = around.run_raw(req, permit, lease, None).await;
+        let result = context.run_raw(req, permit, lease, None).await;
         match result {
             Ok((answer, lease)) => {
-                let refused = answer.result.as_ref().is_err_and(Failure::did_not_run);
-                // One that only reads may begin anew on another target.
-                let failed = answer.result.as_ref().is_err_and(Failure::failed_there)
+                let was_refused = answer.result.as_ref().is_err_and(Failure::did_not_run);
+                // A transaction that only reads may begin again on another target.
+                let has_failed = answer.result.as_ref().is_err_and(Failure::failed_there)
                     && place.at_least.is_some();
-                if refused || failed {
+                if was_refused || has_failed {
                     if let Some(lease) = lease {
-                        around.roll_back(lease).await;
+                        context.roll_back(lease).await;
                     }
-                    if failed {
-                        return Err(NotBegun::Failed(answer));
+                    if has_failed {
+                        return Err(BeginError::Failed(answer));
                     }
                     place.target.avoid(proxy.borders.clock.now());
                     return Err(NotRun::Overloaded { retry_after_ms: 50 }.into());
                 }
-                self.held = lease.map(|lease| Held { around, lease });
+                self.connection = lease.map(|lease| OpenConnection { context, lease });
                 Ok(answer)
             }
             Err(_) => {
                 let took = proxy.borders.clock.now().saturating_duration_since(started);
-                log::info!(request = req.id.as_str(), took_ms = took.as_millis() as u64; "G0727 a transaction's first statement was lost");
+                log::info!(request = req.id.as_str(), took_ms = took.as_millis() as u64; "G0727 the connection was lost during a transaction's first statement");
                 Err(NotRun::ConnectionLost.into())
             }
         }
     }
 }
 
-impl From<NotRun> for NotBegun {
-    fn from(reason: NotRun) -> NotBegun {
-        NotBegun::NotRun(reason)
+impl From<NotRun> for BeginError {
+    fn from(reason: NotRun) -> BeginError {
+        BeginError::NotRun(reason)
     }
 }
 
-fn reason_of(end: End) -> NotRun {
+/// Why a transaction could not be opened.
+fn not_run_reason(end: End) -> NotRun {
     match end {
         End::NotRun(reason) => reason,
         End::Refused(reason) => reason,
@@ -306,8 +310,8 @@
     }
 }
 
-impl Ended {
-    fn refused(failure: Failure) -> Ended {
-        Ended { answer: Answer::failed(failure, TransactionStatus::Idle), wrote: false }
+impl CommitOutcome {
+    fn refused(failure: Failure) -> CommitOutcome {
+        CommitOutcome { answer: Answer::failed(failure, TransactionStatus::Idle), wrote: false }
     }
 }
--- a/crates/gullspar_direct/src/writing/write_path.rs
+++ b/crates/gullspar_direct/src/writing/write_path.rs
@@ -1,4 +1,4 @@
-//! Single writes outside of transactions.
+//! Single writes outside transactions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use crate::targets::attempt::{End, Surroundings};
 use crate::targets::target::Target;
 
-/// Pause before a write that the leader was too busy for is tried again.
-const BUSY_PAUSE: Duration = Duration::from_millis(15);
+/// Delay before a write that the leader did not run is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(15);
 
 impl Proxy {
     /// Runs a single write on the leader.
@@ -28,12 +28,12 @@
         trace: &mut Trace,
     ) -> Answer {
         let clock = &self.borders.clock;
-        let mut last = NotRun::NoPrimary;
+        let mut last_reason = NotRun::NoPrimary;
         while clock.now() < req.deadline {
-            let Some(target) = self.leader_before(group, req).await else { break };
-            if !self.can_confirm(group) {
-                // Its success could not be told; a caller's next try may meet an instance that can.
-                last = NotRun::NoPrimary;
+            let Some(target) = self.wait_for_leader(group, req).await else { break };
+            if !self.can_confirm_commits(group) {
+                // The write could not be acknowledged. The caller may retry through another instance.
+                last_reason = NotRun::NoPrimary;
                 break;
             }
             let place = Place { target: Rc::clone(&target), at_least: None, reading_age: None };
@@ -41,12 +41,12 @@
             match self.try_write(group, req, target).await {
                 End::Answered(answer) => return answer,
                 End::NotRun(reason) => {
-                    last = reason;
-                    let until = (clock.now() + BUSY_PAUSE).min(req.deadline);
-                    let _ = within(&**clock, until, group.listen()).await;
+                    last_reason = reason;
+                    let retry_at = (clock.now() + RETRY_DELAY).min(req.deadline);
+                    let _ = within(&**clock, retry_at, group.listen()).await;
                 }
                 End::Refused(reason) => {
-                    last = reason;
+                    last_reason = reason;
                     break;
                 }
                 End::Lost => {
@@ -60,13 +60,13 @@
                 }
             }
         }
-        let failure = refusal::not_run(last);
+        let failure = refusal::not_run(last_reason);
         log::info!(request = req.id.as_str(), group = group.name.as_str(), reason = failure.text.as_str(); "G0724 a write is refused");
         Answer::failed(failure, TransactionStatus::Idle)
     }
 
-    /// The group's leader, waited for until the request's deadline.
-    pub(crate) async fn leader_before(&self, group: &Group, req: &Request) -> Option<Rc<Target>> {
+    /// Waits for the group's leader until the request's deadline; `None` if none can serve the request.
+    pub(crate) async fn wait_for_leader(&self, group: &Group, req: &Request) -> Option<Rc<Target>> {
         let clock = &self.borders.clock;
         loop {
             let changed = group.listen();
@@ -85,16 +85,16 @@
             Ok(permit) => permit,
             Err(reason) => return End::Refused(reason),
         };
-        let around = Surroundings {
+        let context = Surroundings {
             borders: self.borders.clone(),
             group: Rc::clone(group),
             target: Rc::clone(&target),
         };
-        let lease = match around.lease(req, req.deadline).await {
+        let lease = match context.lease(req, req.deadline).await {
             Ok(lease) => lease,
             Err(reason) => return End::NotRun(reason),
         };
-        let (end, lease) = around.run(req, permit, lease, None).await;
+        let (end, lease) = context.run(req, permit, lease, None).await;
         if let Some(lease) = lease {
             lease.give_back();
         }
