--- a/crates/gullspar_direct/src/fleet/partition.rs
+++ b/crates/gullspar_direct/src/fleet/partition.rs
@@ -21,7 +21,7 @@
             return false;
         }
         let now = self.borders.clock.boot_now();
-        if group.working_leader().is_some() {
+        if group.responsive_leader().is_some() {
             return !group.is_being_replaced(now);
         }
         let led = group
@@ -53,7 +53,7 @@
 
     /// The number of this instance's groups whose leader it reaches.
     pub(crate) fn reachable_leaders(&self) -> usize {
-        self.groups().iter().filter(|it| it.working_leader().is_some()).count()
+        self.groups().iter().filter(|it| it.responsive_leader().is_some()).count()
     }
 
     /// The reason to refuse a new session with `route`; `None` if it can be opened.
@@ -80,8 +80,8 @@
     /// enough for reads from replicas.
     fn can_serve(&self, group: &Group, route: &Route) -> bool {
         let now = self.borders.clock.boot_now();
-        let has_recent_sample = |max_age| group.reading_within(now, max_age).is_some();
-        group.working_leader().is_some() || route.freshness.max_age().is_some_and(has_recent_sample)
+        let has_recent_sample = |max_age| group.position_sample_within(now, max_age).is_some();
+        group.responsive_leader().is_some() || route.freshness.max_age().is_some_and(has_recent_sample)
     }
 
     /// Whether this instance has been able to serve callers since its start.
