--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -60,7 +60,7 @@
         self.give_up_groups(now);
         for group in self.groups() {
             let stays = self.shutdown.phase() == Phase::Serving && group.given_up_at().is_none();
-            group.targets().iter().for_each(|it| it.pool.set_stays(stays));
+            group.targets().iter().for_each(|it| it.pool.set_long_term(stays));
         }
         if let Some(catalogue) = self.directory.catalogue() {
             let mut plans = self.home_plans.borrow_mut();
--- a/crates/gullspar_direct/src/fleet/homes.rs
+++ b/crates/gullspar_direct/src/fleet/homes.rs
@@ -33,7 +33,7 @@
 /// More of them would send more at once, which would wait in the target's own queue, where neither priority nor deadline
 /// counts, and overflow it.
 fn homes_each(allowance: Allowance, members: usize, data_centres: usize) -> Option<usize> {
-    let planned = admission_limit::planned(allowance.connections) as usize;
+    let planned = admission_limit::planned_connections(allowance.connections) as usize;
     if planned / members.max(1) >= LEAST_SHARE {
         return None;
     }
--- a/crates/gullspar_direct/src/groups/failover.rs
+++ b/crates/gullspar_direct/src/groups/failover.rs
@@ -82,14 +82,15 @@
         let leader = self.group.leader();
         let Some(leader) = leader else {
             let long = now >= self.group.leaderless_since() + LEADERLESS_FOR;
-            let reachable = self.group.targets().iter().any(|it| it.was_heard() && !it.is_dark());
+            let reachable =
+                self.group.targets().iter().any(|it| it.has_responded() && !it.is_unresponsive());
             let boot_now = self.borders.clock.boot_now();
             let led = self.peers.views.others_see_leader(&self.group.name, boot_now);
             return (long && reachable && !led && self.agreed(None)).then_some(Cause::NoLeader);
         };
         match self.group.target(&leader.member) {
             None => Some(Cause::Gone),
-            Some(target) if target.is_dark() => {
+            Some(target) if target.is_unresponsive() => {
                 self.agreed(Some(&leader.member)).then_some(Cause::Dark)
             }
             Some(target) if target.spec().leaving => Some(Cause::Leaves),
--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -95,7 +95,7 @@
 
     /// What a statement takes of late on the fastest of the group's targets, if any has answered one.
     pub(crate) fn usual_mean(&self) -> Option<Duration> {
-        self.targets.borrow().values().filter_map(|it| it.mean()).min()
+        self.targets.borrow().values().filter_map(|it| it.mean_duration()).min()
     }
 
     /// Who leads.
@@ -110,12 +110,12 @@
     /// The leader's target, if it is there and answers.
     pub(crate) fn working_leader(&self) -> Option<Rc<Target>> {
         let member = self.leader.borrow().as_ref()?.member.clone();
-        self.target(&member).filter(|it| !it.is_dark())
+        self.target(&member).filter(|it| !it.is_unresponsive())
     }
 
     /// The leader's target, if it may be given new work.
     pub(crate) fn serving_leader(&self) -> Option<Rc<Target>> {
-        self.working_leader().filter(|it| !it.is_past_leaving())
+        self.working_leader().filter(|it| !it.is_closed_to_new_work())
     }
 
     /// The highest term in which a leader answered.
@@ -255,7 +255,7 @@
         let leader = self.leader().map(|it| it.member);
         let health = match &leader {
             Some(member) => match self.target(member) {
-                Some(target) if !target.is_dark() => LeaderHealth::Leads,
+                Some(target) if !target.is_unresponsive() => LeaderHealth::Leads,
                 _ => LeaderHealth::Dark,
             },
             None if now < settle_until => LeaderHealth::Unsure,
--- a/crates/gullspar_direct/src/groups/succession.rs
+++ b/crates/gullspar_direct/src/groups/succession.rs
@@ -25,7 +25,7 @@
         began: Instant,
         before: Option<&Claim>,
     ) -> Option<Candidate> {
-        let answers = |it: &Rc<Target>| !it.is_dark() && it.was_heard();
+        let answers = |it: &Rc<Target>| !it.is_unresponsive() && it.has_responded();
         let targets: Vec<Rc<Target>> = self.group.targets().into_iter().filter(answers).collect();
         let asked = targets.iter().map(|it| self.ask(it));
         let candidates: Vec<Candidate> =
@@ -82,8 +82,8 @@
 /// if it answers and does not tell, as when it is busy.
 async fn received_point(target: &Target, deadline: Instant) -> Option<Option<LogPoint>> {
     // On a connection that is there: a target that has as many as it takes would refuse a new one.
-    let mut lease = target.pool.take_for_check(&target.spec(), true, deadline).await?.ok()?;
+    let mut lease = target.pool.acquire_for_check(&target.spec(), true, deadline).await?.ok()?;
     let answers = lease.connection()?.exchange(vec![TargetCommand::ReceivedPoint]).await.ok()?;
-    lease.give_back();
+    lease.return_to_pool();
     Some(answers.first()?.point)
 }
--- a/crates/gullspar_direct/src/lib.rs
+++ b/crates/gullspar_direct/src/lib.rs
@@ -39,4 +39,4 @@
 pub use session::session_values::SessionValues;
 pub use session::shutdown::{CutOff, Phase, Shutdown};
 pub use stats::Stats;
-pub use targets::pacing::{Share, rest_after};
+pub use targets::pacing::{Share, cooldown_after};
--- a/crates/gullspar_direct/src/reading/placing.rs
+++ b/crates/gullspar_direct/src/reading/placing.rs
@@ -43,7 +43,7 @@
     let able = |avoided: bool| {
         targets
             .iter()
-            .filter(|it| !it.is_dark() && it.was_heard())
+            .filter(|it| !it.is_unresponsive() && it.has_responded())
             .filter(|it| !wanted.tried.contains(&it.member()))
             .filter(|it| avoided || !it.is_avoided(wanted.now))
             .filter(|it| is_able(group, it, wanted))
@@ -55,7 +55,7 @@
 
 fn is_able(group: &Group, target: &Target, wanted: &Wanted<'_>) -> bool {
     if group.is_leader(&target.member()) {
-        return !target.is_past_leaving();
+        return !target.is_closed_to_new_work();
     }
     let Some(point) = wanted.at_least else { return false };
     !target.spec().leaving && !target.is_behind(point, wanted.now)
@@ -63,7 +63,7 @@
 
 fn cost(group: &Group, target: &Target, wanted: &Wanted<'_>, usual: Duration) -> Duration {
     let spec = target.spec();
-    let mut cost = target.expected(usual);
+    let mut cost = target.expected_duration(usual);
     if spec.data_centre != *wanted.own {
         cost += REMOTE_COST;
     }
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -17,7 +17,7 @@
 use crate::session::refusal;
 use crate::session::request::Request;
 use crate::session::trace::Trace;
-use crate::targets::attempt::{End, Surroundings};
+use crate::targets::attempt::{AttemptContext, AttemptOutcome};
 use crate::targets::target::Target;
 use crate::{Freshness, Proxy};
 
@@ -123,21 +123,21 @@
             running.retain(|it| !Rc::ptr_eq(it, &ended));
             another_due = true;
             match end {
-                End::Answered(answer) => {
+                AttemptOutcome::Answered(answer) => {
                     let retry = answer.result.as_ref().is_err_and(Failure::failed_there);
                     if !retry || failed.is_some() {
                         return answer;
                     }
                     failed = Some(answer);
                 }
-                End::NotRun(reason) => last = reason,
-                End::Refused(reason) => {
+                AttemptOutcome::NotRun(reason) => last = reason,
+                AttemptOutcome::Refused(reason) => {
                     last = reason;
                     if running.is_empty() && self.place(group, req, &tried).is_none() {
                         break;
                     }
                 }
-                End::Lost | End::Silent => {}
+                AttemptOutcome::Lost | AttemptOutcome::Silent => {}
             }
         }
         if let Some(answer) = failed {
@@ -219,7 +219,7 @@
         group: &Rc<Group>,
         req: &Rc<Request>,
         place: Place,
-        tx: mpsc::UnboundedSender<(Rc<Try>, End)>,
+        tx: mpsc::UnboundedSender<(Rc<Try>, AttemptOutcome)>,
     ) -> Rc<Try> {
         let (this, group, req) = (Rc::clone(self), Rc::clone(group), Rc::clone(req));
         let own = Rc::new(Try {
@@ -245,8 +245,8 @@
         req: &Request,
         place: Place,
         own: &Try,
-        tx: &mpsc::UnboundedSender<(Rc<Try>, End)>,
-    ) -> End {
+        tx: &mpsc::UnboundedSender<(Rc<Try>, AttemptOutcome)>,
+    ) -> AttemptOutcome {
         let target = place.target;
         let withdraw = own.withdraw.listen();
         let admitted = {
@@ -254,18 +254,20 @@
             futures::pin_mut!(admit);
             match future::select(admit, withdraw).await {
                 Either::Left((admitted, _)) => admitted,
-                Either::Right(_) => return End::NotRun(NotRun::Overloaded { retry_after_ms: 0 }),
+                Either::Right(_) => {
+                    return AttemptOutcome::NotRun(NotRun::Overloaded { retry_after_ms: 0 });
+                }
             }
         };
         let permit = match admitted {
             Ok(permit) => permit,
-            Err(reason) => return End::Refused(reason),
+            Err(reason) => return AttemptOutcome::Refused(reason),
         };
         if tx.is_closed() || own.withdrawn.get() {
-            return End::NotRun(NotRun::DeadlinePassed);
+            return AttemptOutcome::NotRun(NotRun::DeadlinePassed);
         }
         own.sent_at.set(Some(self.borders.clock.now()));
-        let around = Surroundings {
+        let around = AttemptContext {
             borders: self.borders.clone(),
             group: Rc::clone(group),
             target: Rc::clone(&target),
@@ -274,7 +276,7 @@
             None => around.read_on_leader(req, permit).await,
             Some(_) => match self.needed_point(group, req) {
                 Some(needed) => around.read_on_replica(req, permit, needed.point).await,
-                None => End::NotRun(NotRun::Behind),
+                None => AttemptOutcome::NotRun(NotRun::Behind),
             },
         }
     }
@@ -282,9 +284,9 @@
 
 async fn next_end(
     clock: &dyn gullspar_border::Clock,
-    rx: &mut mpsc::UnboundedReceiver<(Rc<Try>, End)>,
+    rx: &mut mpsc::UnboundedReceiver<(Rc<Try>, AttemptOutcome)>,
     until: Instant,
-) -> Result<(Rc<Try>, End), DeadlinePassed> {
+) -> Result<(Rc<Try>, AttemptOutcome), DeadlinePassed> {
     match within(clock, until, rx.next()).await? {
         Some(end) => Ok(end),
         // A sender is held while waiting, so that the channel can't have ended.
--- a/crates/gullspar_direct/src/session/request.rs
+++ b/crates/gullspar_direct/src/session/request.rs
@@ -52,7 +52,7 @@
             Body::Text(_) => None,
             Body::Prepared { definition, .. } => Some(definition),
         };
-        let mut commands = connection.prepare_for(&self.values, wanted);
+        let mut commands = connection.setup_commands(&self.values, wanted);
         commands.push(self.run(connection, at_least));
         commands
     }
--- a/crates/gullspar_direct/src/targets/admission_limit.rs
+++ b/crates/gullspar_direct/src/targets/admission_limit.rs
@@ -11,13 +11,13 @@
 const OVERCOMMIT_PERCENT: u32 = 150;
 
 /// Of `connections` that a target takes, those that are planned for.
-pub(crate) fn planned(connections: u32) -> u32 {
+pub(crate) fn planned_connections(connections: u32) -> u32 {
     connections * PLANNED_PERCENT / 100
 }
 
 /// Connections that one of `instances` may keep to a target that takes `connections`.
 pub(crate) fn connection_share(connections: u32, instances: usize) -> u32 {
-    (planned(connections) / instances.max(1) as u32).max(1)
+    (planned_connections(connections) / instances.max(1) as u32).max(1)
 }
 
 /// Statements, in percent of one, that each of `parts` equal parts may run at once on a target with `slots`.
--- a/crates/gullspar_direct/src/targets/attempt.rs
+++ b/crates/gullspar_direct/src/targets/attempt.rs
@@ -25,7 +25,7 @@
 const PLACE_HELD_FOR: Duration = Duration::from_millis(250);
 
 /// How one try ended.
-pub(crate) enum End {
+pub(crate) enum AttemptOutcome {
     /// The target answered; the answer may be a failure.
     Answered(Answer),
     /// It certainly did not run.
@@ -40,18 +40,18 @@
 
 /// What a try needs to know of its surroundings.
 #[derive(Clone)]
-pub(crate) struct Surroundings {
+pub(crate) struct AttemptContext {
     pub(crate) borders: Borders,
     pub(crate) group: Rc<Group>,
     pub(crate) target: Rc<Target>,
 }
 
-impl Surroundings {
+impl AttemptContext {
     /// Takes a connection for `req`.
     pub(crate) async fn lease(&self, req: &Request, deadline: Instant) -> Result<Lease, NotRun> {
         let taken = {
             let spec = self.target.spec();
-            self.target.pool.take(&spec, &req.customer, &req.values, deadline).await
+            self.target.pool.acquire(&spec, &req.customer, &req.values, deadline).await
         };
         if taken.is_err() {
             self.target.avoid(self.borders.clock.now());
@@ -65,14 +65,14 @@
         req: &Request,
         permit: Permit,
         at_least: LogPoint,
-    ) -> End {
+    ) -> AttemptOutcome {
         let lease = match self.lease(req, req.deadline).await {
             Ok(lease) => lease,
-            Err(reason) => return End::NotRun(reason),
+            Err(reason) => return AttemptOutcome::NotRun(reason),
         };
         let (end, lease) = self.run(req, permit, lease, Some(at_least)).await;
         if let Some(lease) = lease {
-            lease.give_back();
+            lease.return_to_pool();
         }
         end
     }
@@ -81,10 +81,10 @@
     ///
     /// A member that lost the lead unnoticed still answers a bare read, from a log that lacks what the
     /// new leader acknowledged; a caller would not see its own write. It refuses the transaction.
-    pub(crate) async fn read_on_leader(&self, req: &Request, permit: Permit) -> End {
+    pub(crate) async fn read_on_leader(&self, req: &Request, permit: Permit) -> AttemptOutcome {
         let mut lease = match self.lease(req, req.deadline).await {
             Ok(lease) => lease,
-            Err(reason) => return End::NotRun(reason),
+            Err(reason) => return AttemptOutcome::NotRun(reason),
         };
         if let Err(end) = self.open_transaction(req, &mut lease, TargetCommand::Begin).await {
             return end;
@@ -104,33 +104,33 @@
         req: &Request,
         lease: &mut Lease,
         begin: TargetCommand,
-    ) -> Result<(), End> {
+    ) -> Result<(), AttemptOutcome> {
         let clock = &self.borders.clock;
         let plain = begin == TargetCommand::Begin;
         let begun = clock.boot_now();
         let deadline = (clock.now() + BRACKET_WITHIN).min(req.deadline);
         let Some(connection) = lease.connection() else {
-            return Err(End::NotRun(NotRun::Unreachable));
+            return Err(AttemptOutcome::NotRun(NotRun::Unreachable));
         };
         let answers = within(&**clock, deadline, connection.exchange(vec![begin])).await;
         let Ok(Ok(answers)) = answers else {
             self.target.avoid(clock.now());
-            return Err(End::NotRun(NotRun::Unreachable));
+            return Err(AttemptOutcome::NotRun(NotRun::Unreachable));
         };
         let Some(answer) = answers.into_iter().next() else {
-            return Err(End::NotRun(NotRun::Unreachable));
+            return Err(AttemptOutcome::NotRun(NotRun::Unreachable));
         };
         match answer.result {
             Ok(_) => {
                 if plain && let Some(point) = answer.point {
                     self.group.add_reading(point, begun);
                 }
-                self.target.note_point(answer.point);
+                self.target.record_point(answer.point);
                 Ok(())
             }
             Err(failure) => {
                 let reason = self.refused(&failure.code);
-                Err(End::NotRun(reason.unwrap_or(NotRun::Unreachable)))
+                Err(AttemptOutcome::NotRun(reason.unwrap_or(NotRun::Unreachable)))
             }
         }
     }
@@ -142,35 +142,35 @@
         permit: Permit,
         lease: Lease,
         at_least: Option<LogPoint>,
-    ) -> (End, Option<Lease>) {
+    ) -> (AttemptOutcome, Option<Lease>) {
         match self.run_raw(req, permit, lease, at_least).await {
             Ok((answer, lease)) => (self.classify(answer), lease),
             Err(end) => (end, None),
         }
     }
 
-    /// Like [`run`](Surroundings::run), with the answer as the target gave it.
+    /// Like [`run`](AttemptContext::run), with the answer as the target gave it.
     pub(crate) async fn run_raw(
         &self,
         req: &Request,
         permit: Permit,
         mut lease: Lease,
         at_least: Option<LogPoint>,
-    ) -> Result<(Answer, Option<Lease>), End> {
+    ) -> Result<(Answer, Option<Lease>), AttemptOutcome> {
         let clock = &self.borders.clock;
         let Some(connection) = lease.connection() else {
-            return Err(End::NotRun(NotRun::Unreachable));
+            return Err(AttemptOutcome::NotRun(NotRun::Unreachable));
         };
         let commands = req.commands(connection, at_least);
         let started = clock.now();
-        let _counted = self.target.depart();
+        let _counted = self.target.start_statement();
         let exchanged = {
             let exchange = connection.exchange(commands);
             futures::pin_mut!(exchange);
             let free_at = (started + PLACE_HELD_FOR).min(req.deadline);
             let soon = within(&**clock, free_at, &mut exchange).await;
             let taken = clock.now().saturating_duration_since(started);
-            self.target.free_place(permit, taken, self.group.usual_mean());
+            self.target.release_permit(permit, taken, self.group.usual_mean());
             match soon {
                 Ok(result) => Ok(result),
                 Err(DeadlinePassed) => within(&**clock, req.deadline, exchange).await,
@@ -181,27 +181,27 @@
             Ok(Err(err)) => {
                 log::info!(request = req.id.as_str(), member = self.target.member().as_str(), reason = err.to_string().as_str(); "G0710 a target's connection broke during a statement");
                 self.group.check();
-                return Err(End::Lost);
+                return Err(AttemptOutcome::Lost);
             }
             Err(_) => {
                 log::info!(request = req.id.as_str(), member = self.target.member().as_str(); "G0711 a target did not answer a statement in time");
-                return Err(End::Silent);
+                return Err(AttemptOutcome::Silent);
             }
         };
-        let Some(answer) = answers.pop() else { return Err(End::Lost) };
-        self.target.note_point(answer.point);
-        self.target.heard(clock.boot_now());
+        let Some(answer) = answers.pop() else { return Err(AttemptOutcome::Lost) };
+        self.target.record_point(answer.point);
+        self.target.record_response(clock.boot_now());
         let failed = answer.result.as_ref().is_err_and(Failure::failed_there);
         if failed || answer.result.is_ok() {
-            self.target.ran(failed, clock.now());
+            self.target.record_result(failed, clock.now());
         }
         if answer.result.is_ok() {
-            self.target.learn(clock.now().saturating_duration_since(started));
+            self.target.record_duration(clock.now().saturating_duration_since(started));
         }
         if let (Some(point), Err(failure)) = (at_least, &answer.result)
             && failure.code == FailureCode::Behind
         {
-            self.target.note_behind(point, clock.now());
+            self.target.record_behind(point, clock.now());
         }
         if !answers.iter().all(Answer::is_plain_success) {
             // The session's values may not be on it, so nobody else may get it.
@@ -211,14 +211,14 @@
         Ok((answer, Some(lease)))
     }
 
-    fn classify(&self, answer: Answer) -> End {
+    fn classify(&self, answer: Answer) -> AttemptOutcome {
         let reason = match &answer.result {
             Err(failure) => self.refused(&failure.code),
             Ok(_) => None,
         };
         match reason {
-            Some(reason) => End::NotRun(reason),
-            None => End::Answered(answer),
+            Some(reason) => AttemptOutcome::NotRun(reason),
+            None => AttemptOutcome::Answered(answer),
         }
     }
 
@@ -250,7 +250,7 @@
         if let Ok(Ok(answers)) = within(&**clock, deadline, ended).await
             && answers.iter().all(Answer::is_plain_success)
         {
-            lease.give_back();
+            lease.return_to_pool();
         }
     }
 }
--- a/crates/gullspar_direct/src/targets/connection_pool.rs
+++ b/crates/gullspar_direct/src/targets/connection_pool.rs
@@ -11,8 +11,8 @@
 use gullspar_model::{CustomerName, NotRun};
 use gullspar_statement::{FailureCode, OpenError, TargetDialer, TargetSpec};
 
-use crate::targets::dial_pace::DialPace;
-use crate::targets::idle_connections::{Idle, IdleConnections};
+use crate::targets::dial_throttle::DialThrottle;
+use crate::targets::idle_connections::{IdleConnection, IdleConnections};
 use crate::targets::pooled_connection::PooledConnection;
 use crate::{Borders, Stats};
 
@@ -56,7 +56,7 @@
     /// Connections in use, by customer.
     in_use: RefCell<BTreeMap<Option<CustomerName>, u32>>,
     dials: Cell<u32>,
-    pace: DialPace,
+    pace: DialThrottle,
     /// Who had a connection last.
     last_customer: RefCell<Option<CustomerName>>,
     freed: Event,
@@ -99,7 +99,7 @@
             stays: Cell::new(true),
             in_use: RefCell::default(),
             dials: Cell::new(0),
-            pace: DialPace::default(),
+            pace: DialThrottle::default(),
             last_customer: RefCell::default(),
             freed: Event::new(),
             closed: Cell::new(false),
@@ -114,18 +114,18 @@
     /// Closes what is idle and keeps nothing from now on.
     pub(crate) fn close(&self) {
         self.closed.set(true);
-        self.drop_idle();
+        self.close_idle();
     }
 
     /// Closes all idle connections, as when the target went dark: they would only be found silent.
-    pub(crate) fn drop_idle(&self) {
+    pub(crate) fn close_idle(&self) {
         self.note_closed(self.idle.clear());
         self.freed.notify(usize::MAX);
     }
 
     /// Closes idle connections that nobody wanted for a while.
-    pub(crate) fn drop_surplus(&self) {
-        self.note_closed(self.idle.drop_surplus(self.kept_idle(), self.clock.now()));
+    pub(crate) fn close_surplus(&self) {
+        self.note_closed(self.idle.close_surplus(self.kept_idle(), self.clock.now()));
     }
 
     fn note_closed(&self, closed: u32) {
@@ -138,7 +138,7 @@
     }
 
     /// Takes a connection for a check; `None` if all are in use by statements, which tell as much.
-    pub(crate) async fn take_for_check(
+    pub(crate) async fn acquire_for_check(
         self: &Rc<Self>,
         spec: &TargetSpec,
         even_if_busy: bool,
@@ -161,7 +161,7 @@
     }
 
     /// Takes a connection of `customer`, one that holds `values` already if there is one.
-    pub(crate) async fn take(
+    pub(crate) async fn acquire(
         self: &Rc<Self>,
         spec: &TargetSpec,
         customer: &Option<CustomerName>,
@@ -223,7 +223,7 @@
     }
 
     /// Sets whether this instance is to serve the target's callers for long; if not, others need the room.
-    pub(crate) fn set_stays(&self, stays: bool) {
+    pub(crate) fn set_long_term(&self, stays: bool) {
         self.stays.set(stays);
     }
 
@@ -236,7 +236,10 @@
     }
 
     /// Takes an idle connection by `take`; those that the target closed meanwhile are dropped.
-    fn take_quiet(&self, take: impl Fn(&IdleConnections) -> Option<Idle>) -> Option<Idle> {
+    fn take_quiet(
+        &self,
+        take: impl Fn(&IdleConnections) -> Option<IdleConnection>,
+    ) -> Option<IdleConnection> {
         loop {
             let idle = take(&self.idle)?;
             if idle.connection.is_quiet() {
@@ -246,7 +249,7 @@
         }
     }
 
-    fn lease(self: &Rc<Self>, idle: Idle, is_check: bool) -> Lease {
+    fn lease(self: &Rc<Self>, idle: IdleConnection, is_check: bool) -> Lease {
         self.note_in_use(&idle.customer);
         Lease {
             pool: Rc::clone(self),
@@ -314,13 +317,17 @@
     }
 
     /// Gives the connection back for others; only when nothing is in flight or open on it.
-    pub(crate) fn give_back(mut self) {
+    pub(crate) fn return_to_pool(mut self) {
         if self.pool.closed.get() {
             return;
         }
         if let Some(connection) = self.connection.take() {
             let since = self.idle_since.unwrap_or_else(|| self.pool.clock.now());
-            self.pool.idle.put(Idle { customer: self.customer.clone(), connection, since });
+            self.pool.idle.put(IdleConnection {
+                customer: self.customer.clone(),
+                connection,
+                since,
+            });
             self.kept = true;
         }
     }
--- a/crates/gullspar_direct/src/targets/dial_pace.rs
+++ b/crates/gullspar_direct/src/targets/dial_throttle.rs
@@ -25,7 +25,7 @@
 /// A target that is full refuses each of many instances. If all of them asked again at once, for each of their waiting
 /// statements, refusing would take the slots that the open connections need, and it would stay full of attempts.
 #[derive(Default)]
-pub(crate) struct DialPace {
+pub(crate) struct DialThrottle {
     due: Cell<Option<Instant>>,
     refusals: Cell<u32>,
     usual_us: Cell<Option<u64>>,
@@ -33,7 +33,7 @@
     room: Cell<Option<(u32, Instant)>>,
 }
 
-impl DialPace {
+impl DialThrottle {
     /// When the next dial is due; `None` for now.
     pub(crate) fn due(&self) -> Option<Instant> {
         self.due.get()
--- a/crates/gullspar_direct/src/targets/idle_connections.rs
+++ b/crates/gullspar_direct/src/targets/idle_connections.rs
@@ -13,20 +13,20 @@
 const SURPLUS_IDLE: Duration = Duration::from_millis(800);
 
 /// A connection that waits for the next statement of its customer.
-pub(crate) struct Idle {
+pub(crate) struct IdleConnection {
     pub(crate) customer: Option<CustomerName>,
     pub(crate) connection: PooledConnection,
     pub(crate) since: Instant,
 }
 
-/// Idle connections, those that have waited longest first.
+/// IdleConnection connections, those that have waited longest first.
 #[derive(Default)]
 pub(crate) struct IdleConnections {
-    list: RefCell<Vec<Idle>>,
+    list: RefCell<Vec<IdleConnection>>,
 }
 
 impl IdleConnections {
-    pub(crate) fn put(&self, idle: Idle) {
+    pub(crate) fn put(&self, idle: IdleConnection) {
         let mut list = self.list.borrow_mut();
         let at = list.partition_point(|it| it.since <= idle.since);
         list.insert(at, idle);
@@ -37,16 +37,16 @@
         &self,
         customer: &Option<CustomerName>,
         values: &BTreeMap<ArcStr, ArcStr>,
-    ) -> Option<Idle> {
+    ) -> Option<IdleConnection> {
         let mut list = self.list.borrow_mut();
-        let is_own = |it: &Idle| it.customer == *customer;
-        let matching = list.iter().rposition(|it| is_own(it) && it.connection.holds(values));
+        let is_own = |it: &IdleConnection| it.customer == *customer;
+        let matching = list.iter().rposition(|it| is_own(it) && it.connection.has_values(values));
         let at = matching.or_else(|| list.iter().rposition(is_own))?;
         Some(list.remove(at))
     }
 
     /// Takes the connection that has waited longest.
-    pub(crate) fn take_oldest(&self) -> Option<Idle> {
+    pub(crate) fn take_oldest(&self) -> Option<IdleConnection> {
         let mut list = self.list.borrow_mut();
         (!list.is_empty()).then(|| list.remove(0))
     }
@@ -67,7 +67,7 @@
 
     /// Closes those that waited for long and whose customer has another one, or that are more than `kept`; tells how
     /// many.
-    pub(crate) fn drop_surplus(&self, kept: usize, now: Instant) -> u32 {
+    pub(crate) fn close_surplus(&self, kept: usize, now: Instant) -> u32 {
         let mut list = self.list.borrow_mut();
         let before = list.len();
         let mut beyond = before.saturating_sub(kept);
--- a/crates/gullspar_direct/src/targets/mod.rs
+++ b/crates/gullspar_direct/src/targets/mod.rs
@@ -3,7 +3,7 @@
 pub(crate) mod admission_limit;
 pub(crate) mod attempt;
 pub(crate) mod connection_pool;
-pub(crate) mod dial_pace;
+pub(crate) mod dial_throttle;
 pub(crate) mod idle_connections;
 pub(crate) mod pacing;
 pub(crate) mod pooled_connection;
--- a/crates/gullspar_direct/src/targets/pacing.rs
+++ b/crates/gullspar_direct/src/targets/pacing.rs
@@ -43,14 +43,14 @@
     }
 
     /// Statements at a time, one at least.
-    pub fn places(self) -> u32 {
+    pub fn permits(self) -> u32 {
         self.percent.div_ceil(100).clamp(1, self.slots)
     }
 }
 
 /// How long a place rests after a statement that took `taken`, where statements of late took `mean` here and `usual`
 /// on the fastest target of the group.
-pub fn rest_after(
+pub fn cooldown_after(
     share: Share,
     taken: Duration,
     mean: Option<Duration>,
--- a/crates/gullspar_direct/src/targets/pooled_connection.rs
+++ b/crates/gullspar_direct/src/targets/pooled_connection.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether the session values on it are exactly `values`.
-    pub(crate) fn holds(&self, values: &BTreeMap<ArcStr, ArcStr>) -> bool {
+    pub(crate) fn has_values(&self, values: &BTreeMap<ArcStr, ArcStr>) -> bool {
         self.values == *values
     }
 
@@ -34,7 +34,7 @@
 
     /// The commands that give the connection exactly `values` and the prepared statement `wanted`;
     /// they go in the same write as the statement that needs them and cost no round trip.
-    pub(crate) fn prepare_for(
+    pub(crate) fn setup_commands(
         &mut self,
         values: &BTreeMap<ArcStr, ArcStr>,
         wanted: Option<&Definition>,
--- a/crates/gullspar_direct/src/targets/target.rs
+++ b/crates/gullspar_direct/src/targets/target.rs
@@ -67,7 +67,7 @@
     work_ends_at: Cell<Option<BootInstant>>,
     pub(crate) removed: Cell<bool>,
     /// A write waits for this replica and has it asked.
-    pub(crate) looking: Cell<bool>,
+    pub(crate) is_polled: Cell<bool>,
     clock: Rc<dyn Clock>,
     stats: Rc<Stats>,
 }
@@ -97,7 +97,7 @@
             behind: Cell::new(None),
             work_ends_at: Cell::new(None),
             removed: Cell::new(false),
-            looking: Cell::new(false),
+            is_polled: Cell::new(false),
             clock: Rc::clone(&borders.clock),
             stats: Rc::clone(&borders.stats),
         })
@@ -109,7 +109,7 @@
         let permit = self.admission.enter_by(req.priority, req.objective, req.deadline).await?;
         self.stats.place(self.clock.now().saturating_duration_since(asked));
         // It may have waited for long.
-        if self.is_past_leaving() { Err(NotRun::NoPrimary) } else { Ok(permit) }
+        if self.is_closed_to_new_work() { Err(NotRun::NoPrimary) } else { Ok(permit) }
     }
 
     /// Sets when it gets no new work any more, as it leaves.
@@ -121,7 +121,7 @@
     ///
     /// A leader that leaves serves until it is replaced. Where nobody can take its place it would be given work
     /// until it ends, and what it then runs is cut off; callers are refused instead, as not run.
-    pub(crate) fn is_past_leaving(&self) -> bool {
+    pub(crate) fn is_closed_to_new_work(&self) -> bool {
         self.work_ends_at.get().is_some_and(|at| at <= self.clock.boot_now())
     }
 
@@ -142,40 +142,40 @@
         self.point.get()
     }
 
-    pub(crate) fn note_point(&self, point: Option<LogPoint>) {
+    pub(crate) fn record_point(&self, point: Option<LogPoint>) {
         if point.is_some() {
             self.point.set(point);
         }
     }
 
     /// It answered a check.
-    pub(crate) fn heard(&self, now: BootInstant) {
+    pub(crate) fn record_response(&self, now: BootInstant) {
         self.misses.set(0);
         self.heard.set(Some(now));
     }
 
     /// It did not answer a check; `true` when this makes it dark.
-    pub(crate) fn missed(&self) -> bool {
+    pub(crate) fn record_missed_check(&self) -> bool {
         self.misses.set(self.misses.get().saturating_add(1));
         self.misses.get() == DARK_AFTER
     }
 
-    pub(crate) fn has_misses(&self) -> bool {
+    pub(crate) fn has_missed_checks(&self) -> bool {
         self.misses.get() > 0
     }
 
     /// Whether it answers nothing.
-    pub(crate) fn is_dark(&self) -> bool {
+    pub(crate) fn is_unresponsive(&self) -> bool {
         self.misses.get() >= DARK_AFTER
     }
 
     /// Whether it answered anything since `instant`.
-    pub(crate) fn heard_since(&self, instant: BootInstant) -> bool {
+    pub(crate) fn has_responded_since(&self, instant: BootInstant) -> bool {
         self.heard.get().is_some_and(|at| at >= instant)
     }
 
     /// Whether it ever answered a check.
-    pub(crate) fn was_heard(&self) -> bool {
+    pub(crate) fn has_responded(&self) -> bool {
         self.heard.get().is_some()
     }
 
@@ -194,7 +194,7 @@
     /// same, one such replica would fail hundreds of statements. One failure may be the
     /// statement's own fault; where they prevail the target is passed over, twice as long each time, and the reads
     /// that try it again show when it is well.
-    pub(crate) fn ran(&self, failed: bool, now: Instant) {
+    pub(crate) fn record_result(&self, failed: bool, now: Instant) {
         if !failed {
             self.failures.set(self.failures.get().saturating_sub(SUCCESS_WEIGHT));
             return;
@@ -212,7 +212,7 @@
     }
 
     /// It said that its log does not reach `point`.
-    pub(crate) fn note_behind(&self, point: LogPoint, now: Instant) {
+    pub(crate) fn record_behind(&self, point: LogPoint, now: Instant) {
         self.behind.set(Some((point, now + BEHIND_FOR)));
     }
 
@@ -222,8 +222,8 @@
 
     /// Gives a place back after a statement that took `taken`, at once or, while the target is crowded, after
     /// a rest.
-    pub(crate) fn free_place(&self, permit: Permit, taken: Duration, usual: Option<Duration>) {
-        let rest = pacing::rest_after(self.share.get(), taken, self.mean(), usual);
+    pub(crate) fn release_permit(&self, permit: Permit, taken: Duration, usual: Option<Duration>) {
+        let rest = pacing::cooldown_after(self.share.get(), taken, self.mean_duration(), usual);
         if rest.is_zero() {
             return;
         }
@@ -239,17 +239,17 @@
     /// Sets what part of the target this instance uses.
     pub(crate) fn set_share(&self, share: pacing::Share) {
         self.share.set(share);
-        self.admission.set_capacity(share.places());
+        self.admission.set_capacity(share.permits());
     }
 
     /// A statement begins; it ends when the guard is dropped.
-    pub(crate) fn depart(self: &Rc<Self>) -> InFlight {
+    pub(crate) fn start_statement(self: &Rc<Self>) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlight { target: Rc::clone(self) }
     }
 
     /// A statement took this long.
-    pub(crate) fn learn(&self, took: Duration) {
+    pub(crate) fn record_duration(&self, took: Duration) {
         let sample = took.as_micros() as u64;
         let mean = self.mean_us.get().unwrap_or(sample);
         self.mean_us.set(Some((mean * (MEAN_WEIGHT - 1) + sample) / MEAN_WEIGHT));
@@ -257,7 +257,7 @@
     }
 
     /// What a statement took here of late; `None` before the first.
-    pub(crate) fn mean(&self) -> Option<Duration> {
+    pub(crate) fn mean_duration(&self) -> Option<Duration> {
         self.mean_us.get().map(Duration::from_micros)
     }
 
@@ -265,9 +265,9 @@
     ///
     /// What was learnt beyond that is forgotten by and by: a target that nobody asks any more has no way
     /// to show that it is fast again. Its group's leader would refuse callers that it could serve.
-    fn mean_against(&self, usual: Duration) -> Duration {
+    fn decayed_mean(&self, usual: Duration) -> Duration {
         // One that has just started is taken to be like the others; it gets work and shows what it takes.
-        let mean = self.mean().unwrap_or(usual);
+        let mean = self.mean_duration().unwrap_or(usual);
         let passed = self.clock.now().saturating_duration_since(self.learnt_at.get());
         let halvings = passed.as_millis() / SLOWNESS_HALVES_EVERY.as_millis();
         let beyond = mean.saturating_sub(usual);
@@ -279,10 +279,10 @@
     ///
     /// Without the latter a burst goes to one target as long as none of it has been sent, and a leader with
     /// sixty reads before it looks idle.
-    pub(crate) fn expected(&self, usual: Duration) -> Duration {
+    pub(crate) fn expected_duration(&self, usual: Duration) -> Duration {
         let before = self.in_flight.get() + self.admission.queued() as u32;
         let places = self.admission.capacity();
-        let mean = self.mean_against(usual);
+        let mean = self.decayed_mean(usual);
         mean * (before / places + 1) + mean * before / places / 4
     }
 }
--- a/crates/gullspar_direct/src/targets/target_watch.rs
+++ b/crates/gullspar_direct/src/targets/target_watch.rs
@@ -33,7 +33,7 @@
 const FULL_PAUSE: Duration = Duration::from_millis(200);
 
 /// What one check brought.
-pub(crate) enum Check {
+pub(crate) enum CheckResult {
     Answered,
     Missed,
     /// Statements use all connections, and were answered lately.
@@ -47,28 +47,28 @@
     while !target.removed.get() {
         let check = check(&borders, &group, &target).await;
         match check {
-            Check::Answered => {
-                if target.is_dark() {
+            CheckResult::Answered => {
+                if target.is_unresponsive() {
                     log::info!(member = target.member().as_str(); "G0708 a target answers again");
                 }
-                let was_troubled = target.has_misses();
-                target.heard(borders.clock.boot_now());
+                let was_troubled = target.has_missed_checks();
+                target.record_response(borders.clock.boot_now());
                 if was_troubled {
                     group.notify();
                 }
             }
-            Check::Missed => {
-                if target.missed() {
+            CheckResult::Missed => {
+                if target.record_missed_check() {
                     log::warn!(member = target.member().as_str(); "G0709 a target does not answer");
                     borders.stats.target_dark();
-                    target.pool.drop_idle();
+                    target.pool.close_idle();
                     group.note_dark(borders.clock.boot_now());
                 }
             }
-            Check::Full => group.note_full(borders.clock.now()),
-            Check::InUse => {}
+            CheckResult::Full => group.note_full(borders.clock.now()),
+            CheckResult::InUse => {}
         }
-        target.pool.drop_surplus();
+        target.pool.close_surplus();
         let woken = group.listen_check();
         let until = borders.clock.now() + pause(&group, &target, &check);
         // Whichever comes first, the next check follows.
@@ -76,10 +76,10 @@
     }
 }
 
-fn pause(group: &Group, target: &Target, check: &Check) -> Duration {
-    if matches!(check, Check::Full) {
+fn pause(group: &Group, target: &Target, check: &CheckResult) -> Duration {
+    if matches!(check, CheckResult::Full) {
         FULL_PAUSE
-    } else if group.working_leader().is_none() || target.has_misses() {
+    } else if group.working_leader().is_none() || target.has_missed_checks() {
         TROUBLED_EVERY
     } else if group.is_leader(&target.member()) {
         LEADER_EVERY
@@ -89,37 +89,37 @@
 }
 
 /// Asks the target once whether it leads and where its log ends, unless statements in use tell as much.
-pub(crate) async fn check(borders: &Borders, group: &Group, target: &Target) -> Check {
-    let overdue = !target.heard_since(borders.clock.boot_now().minus(OVERDUE_AFTER));
+pub(crate) async fn check(borders: &Borders, group: &Group, target: &Target) -> CheckResult {
+    let overdue = !target.has_responded_since(borders.clock.boot_now().minus(OVERDUE_AFTER));
     ask(borders, group, target, overdue).await
 }
 
 /// Whether the target says now that it leads.
-pub(crate) async fn leads(borders: &Borders, group: &Group, target: &Target) -> bool {
-    let answered = matches!(ask(borders, group, target, true).await, Check::Answered);
+pub(crate) async fn is_leader_now(borders: &Borders, group: &Group, target: &Target) -> bool {
+    let answered = matches!(ask(borders, group, target, true).await, CheckResult::Answered);
     answered && group.is_leader(&target.member())
 }
 
-async fn ask(borders: &Borders, group: &Group, target: &Target, even_if_busy: bool) -> Check {
+async fn ask(borders: &Borders, group: &Group, target: &Target, even_if_busy: bool) -> CheckResult {
     let clock = &borders.clock;
     let spec = target.spec();
     let deadline = clock.now() + OPEN_WITHIN;
-    let mut lease = match target.pool.take_for_check(&spec, even_if_busy, deadline).await {
-        None => return Check::InUse,
+    let mut lease = match target.pool.acquire_for_check(&spec, even_if_busy, deadline).await {
+        None => return CheckResult::InUse,
         Some(Ok(lease)) => lease,
-        Some(Err(NotRun::Overloaded { .. })) => return Check::Full,
-        Some(Err(_)) => return Check::Missed,
+        Some(Err(NotRun::Overloaded { .. })) => return CheckResult::Full,
+        Some(Err(_)) => return CheckResult::Missed,
     };
-    let Some(connection) = lease.connection() else { return Check::Missed };
+    let Some(connection) = lease.connection() else { return CheckResult::Missed };
     let begun = clock.boot_now();
     let deadline = clock.now() + ANSWER_WITHIN;
     // Only a member that leads at this moment opens a plain transaction.
     let commands = vec![TargetCommand::Begin, TargetCommand::RollBack];
     let Ok(Ok(answers)) = within(&**clock, deadline, connection.exchange(commands)).await else {
-        return Check::Missed;
+        return CheckResult::Missed;
     };
-    let Some(first) = answers.first() else { return Check::Missed };
-    target.note_point(first.point);
+    let Some(first) = answers.first() else { return CheckResult::Missed };
+    target.record_point(first.point);
     match (&first.result, first.point) {
         (Ok(_), Some(point)) => group.leads(&spec.member, point, begun),
         (Err(failure), _) if failure.code == FailureCode::ReadOnly => {
@@ -128,7 +128,7 @@
         _ => {}
     }
     if answers.last().is_some_and(|it| it.status == TransactionStatus::Idle) {
-        lease.give_back();
+        lease.return_to_pool();
     }
-    Check::Answered
+    CheckResult::Answered
 }
--- a/crates/gullspar_direct/src/writing/confirmation.rs
+++ b/crates/gullspar_direct/src/writing/confirmation.rs
@@ -127,7 +127,7 @@
         let Some(leader) = group.leader() else { return false };
         let now = self.borders.clock.boot_now();
         let replicas = staying(group);
-        let no_cut_since = if replicas.iter().any(|it| it.heard_since(asked)) {
+        let no_cut_since = if replicas.iter().any(|it| it.has_responded_since(asked)) {
             // They are only behind.
             BootInstant::MACHINE_START
         } else if replicas.is_empty() {
@@ -144,7 +144,7 @@
     async fn still_leads(&self, group: &Rc<Group>, commit: &Commit) -> bool {
         let leader = group.working_leader().filter(|it| it.member() == commit.leader);
         let Some(leader) = leader else { return false };
-        target_watch::leads(&self.borders, group, &leader).await
+        target_watch::is_leader_now(&self.borders, group, &leader).await
             && group.newest_term() == commit.point.term
             && group.is_leader(&commit.leader)
             // One that has started anew meanwhile may lead without it.
@@ -188,7 +188,10 @@
 /// The replicas that may lead next.
 fn staying(group: &Group) -> Vec<Rc<Target>> {
     let stays = |it: &Rc<Target>| {
-        !group.is_leader(&it.member()) && !it.spec().leaving && !it.is_dark() && it.was_heard()
+        !group.is_leader(&it.member())
+            && !it.spec().leaving
+            && !it.is_unresponsive()
+            && it.has_responded()
     };
     group.targets().into_iter().filter(stays).collect()
 }
@@ -196,13 +199,13 @@
 /// Asks the replicas that are not known to have the commit where their logs end.
 fn look(borders: &Borders, group: &Rc<Group>, point: LogPoint) {
     for target in staying(group).into_iter().filter(|it| !has(it, point)) {
-        if target.looking.replace(true) {
+        if target.is_polled.replace(true) {
             continue;
         }
         let (borders, group) = (borders.clone(), Rc::clone(group));
         let task = async move {
             target_watch::check(&borders, &group, &target).await;
-            target.looking.set(false);
+            target.is_polled.set(false);
             group.notify_progress();
         };
         compio::runtime::spawn(task).detach();
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -15,7 +15,7 @@
 use crate::session::refusal;
 use crate::session::request::Request;
 use crate::session::trace::Trace;
-use crate::targets::attempt::{End, Surroundings};
+use crate::targets::attempt::{AttemptContext, AttemptOutcome};
 use crate::targets::connection_pool::Lease;
 use crate::{Freshness, Proxy};
 
@@ -27,7 +27,7 @@
 
 /// A connection inside a transaction.
 struct Held {
-    around: Surroundings,
+    around: AttemptContext,
     lease: Lease,
 }
 
@@ -120,7 +120,7 @@
         let succeeded = answer.result.is_ok();
         if succeeded {
             if let Some(held) = self.held.take() {
-                held.lease.give_back();
+                held.lease.return_to_pool();
             }
         } else {
             self.roll_back();
@@ -175,13 +175,13 @@
     /// The connection is gone in the middle of a statement.
     ///
     /// Before a commit was sent, and where nothing was written, nothing can be kept any more.
-    fn lost(&mut self, req: &Request, end: &End) -> Answer {
+    fn lost(&mut self, req: &Request, end: &AttemptOutcome) -> Answer {
         log::info!(request = req.id.as_str(), group = self.group.name.as_str(), wrote = self.wrote; "G0725 a transaction's connection is lost");
         let failure = match end {
-            End::Lost if req.commits && self.wrote => {
+            AttemptOutcome::Lost if req.commits && self.wrote => {
                 refusal::unknown("the connection broke at commit")
             }
-            End::Silent if req.commits && self.wrote => refusal::timed_out(),
+            AttemptOutcome::Silent if req.commits && self.wrote => refusal::timed_out(),
             _ => refusal::rolled_back("the target was lost"),
         };
         self.fail(failure)
@@ -241,7 +241,7 @@
         place: Place,
     ) -> Result<Answer, NotBegun> {
         let permit = place.target.admit(req).await?;
-        let around = Surroundings {
+        let around = AttemptContext {
             borders: proxy.borders.clone(),
             group: Rc::clone(&self.group),
             target: Rc::clone(&place.target),
@@ -255,8 +255,8 @@
         };
         if let TargetCommand::BeginReadOnly { at_least: Some(point) } = begin {
             let begun = around.open_transaction(req, &mut lease, begin).await;
-            if let Err(End::NotRun(NotRun::Behind)) = begun {
-                place.target.note_behind(point, proxy.borders.clock.now());
+            if let Err(AttemptOutcome::NotRun(NotRun::Behind)) = begun {
+                place.target.record_behind(point, proxy.borders.clock.now());
             }
             begun.map_err(reason_of)?;
         } else {
@@ -298,11 +298,13 @@
     }
 }
 
-fn reason_of(end: End) -> NotRun {
+fn reason_of(end: AttemptOutcome) -> NotRun {
     match end {
-        End::NotRun(reason) => reason,
-        End::Refused(reason) => reason,
-        End::Answered(_) | End::Lost | End::Silent => NotRun::Unreachable,
+        AttemptOutcome::NotRun(reason) => reason,
+        AttemptOutcome::Refused(reason) => reason,
+        AttemptOutcome::Answered(_) | AttemptOutcome::Lost | AttemptOutcome::Silent => {
+            NotRun::Unreachable
+        }
     }
 }
 
--- a/crates/gullspar_direct/src/writing/write_path.rs
+++ b/crates/gullspar_direct/src/writing/write_path.rs
@@ -13,7 +13,7 @@
 use crate::session::refusal;
 use crate::session::request::Request;
 use crate::session::trace::Trace;
-use crate::targets::attempt::{End, Surroundings};
+use crate::targets::attempt::{AttemptContext, AttemptOutcome};
 use crate::targets::target::Target;
 
 /// Pause before a write that the leader was too busy for is tried again.
@@ -39,22 +39,22 @@
             let place = Place { target: Rc::clone(&target), at_least: None, reading_age: None };
             place.note(trace);
             match self.try_write(group, req, target).await {
-                End::Answered(answer) => return answer,
-                End::NotRun(reason) => {
+                AttemptOutcome::Answered(answer) => return answer,
+                AttemptOutcome::NotRun(reason) => {
                     last = reason;
                     let until = (clock.now() + BUSY_PAUSE).min(req.deadline);
                     let _ = within(&**clock, until, group.listen()).await;
                 }
-                End::Refused(reason) => {
+                AttemptOutcome::Refused(reason) => {
                     last = reason;
                     break;
                 }
-                End::Lost => {
+                AttemptOutcome::Lost => {
                     let failure = refusal::unknown("the target's connection broke");
                     log::warn!(request = req.id.as_str(), group = group.name.as_str(); "G0722 a write's outcome is unknown");
                     return Answer::failed(failure, TransactionStatus::Idle);
                 }
-                End::Silent => {
+                AttemptOutcome::Silent => {
                     log::warn!(request = req.id.as_str(), group = group.name.as_str(); "G0723 a write was not answered in time");
                     return Answer::failed(refusal::timed_out(), TransactionStatus::Idle);
                 }
@@ -80,23 +80,28 @@
         }
     }
 
-    async fn try_write(&self, group: &Rc<Group>, req: &Request, target: Rc<Target>) -> End {
+    async fn try_write(
+        &self,
+        group: &Rc<Group>,
+        req: &Request,
+        target: Rc<Target>,
+    ) -> AttemptOutcome {
         let permit = match target.admit(req).await {
             Ok(permit) => permit,
-            Err(reason) => return End::Refused(reason),
+            Err(reason) => return AttemptOutcome::Refused(reason),
         };
-        let around = Surroundings {
+        let around = AttemptContext {
             borders: self.borders.clone(),
             group: Rc::clone(group),
             target: Rc::clone(&target),
         };
         let lease = match around.lease(req, req.deadline).await {
             Ok(lease) => lease,
-            Err(reason) => return End::NotRun(reason),
+            Err(reason) => return AttemptOutcome::NotRun(reason),
         };
         let (end, lease) = around.run(req, permit, lease, None).await;
         if let Some(lease) = lease {
-            lease.give_back();
+            lease.return_to_pool();
         }
         end
     }
--- a/crates/gullspar_direct/tests/pacing.rs
+++ b/crates/gullspar_direct/tests/pacing.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use gullspar_direct::{Share, rest_after};
+use gullspar_direct::{Share, cooldown_after};
 use test_case::test_case;
 
 /// How long a run is, in milliseconds.
@@ -40,7 +40,7 @@
     let usual = Duration::from_millis(load.work_ms);
     let mut means = vec![load.work_ms * 1000; load.instances];
     // When each place of each instance is free again; `None` while its statement is at the target.
-    let mut places = vec![vec![Some(0); share.places() as usize]; load.instances];
+    let mut places = vec![vec![Some(0); share.permits() as usize]; load.instances];
     let mut queue: VecDeque<Sent> =
         (0..load.transactions).map(|_| Sent { at: 0, by: None }).collect();
     let mut running: Vec<(u64, Sent)> = Vec::new();
@@ -59,7 +59,7 @@
             };
             means[by] = (means[by] * (MEAN_WEIGHT - 1) + took * 1000) / MEAN_WEIGHT;
             let mean = Duration::from_micros(means[by]);
-            let pause = rest_after(share, Duration::from_millis(took), Some(mean), Some(usual));
+            let pause = cooldown_after(share, Duration::from_millis(took), Some(mean), Some(usual));
             let pause = if resting { pause.as_millis() as u64 } else { 0 };
             if let Some(place) = places[by].iter_mut().find(|it| it.is_none()) {
                 *place = Some(now + pause);
@@ -111,15 +111,18 @@
 fn a_target_that_is_not_crowded_gets_no_rest(mean: Option<u64>, usual: Option<u64>) {
     let ms = |it: Option<u64>| it.map(Duration::from_millis);
     let taken = Duration::from_millis(30);
-    assert_eq!(rest_after(Share::of(3, 9), taken, ms(mean), ms(usual)), Duration::ZERO);
+    assert_eq!(cooldown_after(Share::of(3, 9), taken, ms(mean), ms(usual)), Duration::ZERO);
 }
 
 /// With a place or more for each instance there is nothing to share out.
 #[test]
 fn a_whole_place_never_rests() {
     let (slow, fast) = (Some(Duration::from_millis(90)), Some(Duration::from_millis(10)));
-    assert_eq!(rest_after(Share::of(3, 4), Duration::from_millis(90), slow, fast), Duration::ZERO);
-    assert_eq!(Share::of(3, 4).places(), 2);
-    assert_eq!(Share::of(3, 1).places(), 3);
-    assert_eq!(Share::of(3, 100).places(), 1);
+    assert_eq!(
+        cooldown_after(Share::of(3, 4), Duration::from_millis(90), slow, fast),
+        Duration::ZERO
+    );
+    assert_eq!(Share::of(3, 4).permits(), 2);
+    assert_eq!(Share::of(3, 1).permits(), 3);
+    assert_eq!(Share::of(3, 100).permits(), 1);
 }
