--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -11,7 +11,7 @@
 
 use crate::groups::failover_timing;
 use crate::targets::target::Target;
-use crate::{ClaimBook, GroupView, LeaderHealth, Reading, Readings};
+use crate::{ClaimBook, GroupView, LeaderHealth, PositionSample, PositionSamples};
 
 /// Who leads, as it said itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     led_since: Cell<Option<BootInstant>>,
     /// Since when no leader answered here, as far as was looked.
     leader_lacking_since: Cell<Option<Instant>>,
-    readings: RefCell<Readings>,
+    readings: RefCell<PositionSamples>,
     claims: RefCell<ClaimBook>,
     /// How long a replica usually needs to have a commit, in microseconds.
     usual_lag_us: Cell<u64>,
@@ -188,19 +188,19 @@
         self.notify();
     }
 
-    /// `member`, asked at `begun`, answered as the leader with its log at `point`.
-    pub(crate) fn leads(&self, member: &MemberName, point: LogPoint, begun: BootInstant) {
+    /// `member`, asked at `requested_at`, answered as the leader with its log at `point`.
+    pub(crate) fn leads(&self, member: &MemberName, point: LogPoint, requested_at: BootInstant) {
         if point.term < self.newest_term.get() {
             // A late answer of a leader that was superseded meanwhile.
             return;
         }
         self.newest_term.set(point.term);
-        self.readings.borrow_mut().add(Reading { begun, point });
+        self.readings.borrow_mut().add(PositionSample { requested_at, point });
         let same = self.leader.borrow().as_ref().is_some_and(|it| it.member == *member);
         if !same {
             log::info!(group = self.name.as_str(), member = member.as_str(), term = point.term.0; "G0706 a group is led by");
             *self.leader.borrow_mut() = Some(Leader { member: member.clone(), term: point.term });
-            self.led_since.set(Some(begun));
+            self.led_since.set(Some(requested_at));
             self.notify();
         }
     }
@@ -217,19 +217,23 @@
     }
 
     /// Takes a position that a leader gave with an answer.
-    pub(crate) fn add_reading(&self, point: LogPoint, begun: BootInstant) {
+    pub(crate) fn add_reading(&self, point: LogPoint, requested_at: BootInstant) {
         if point.term >= self.newest_term.get() {
-            self.readings.borrow_mut().add(Reading { begun, point });
+            self.readings.borrow_mut().add(PositionSample { requested_at, point });
         }
     }
 
     /// The oldest reading that covers everything older than `max_age`.
-    pub(crate) fn reading_within(&self, now: BootInstant, max_age: Duration) -> Option<Reading> {
+    pub(crate) fn reading_within(
+        &self,
+        now: BootInstant,
+        max_age: Duration,
+    ) -> Option<PositionSample> {
         self.readings.borrow().oldest_within(now, max_age)
     }
 
     /// The newest reading of the leader.
-    pub(crate) fn newest_reading(&self) -> Option<Reading> {
+    pub(crate) fn newest_reading(&self) -> Option<PositionSample> {
         self.readings.borrow().newest()
     }
 
--- a/crates/gullspar_direct/src/lib.rs
+++ b/crates/gullspar_direct/src/lib.rs
@@ -32,7 +32,7 @@
 pub use gullspar_membership::Member;
 pub use proxy::{Identity, Proxy, ROTATION};
 pub use reading::freshness::Freshness;
-pub use reading::readings::{Reading, Readings};
+pub use reading::position_samples::{PositionSample, PositionSamples};
 pub use session::caller_opening::{serve_caller, serve_relayed_caller};
 pub use session::handed_on::HandedOn;
 pub use session::relay::{HomeLink, RelayMessage, RelayReply};
--- a/crates/gullspar_direct/src/reading/mod.rs
+++ b/crates/gullspar_direct/src/reading/mod.rs
@@ -1,6 +1,6 @@
 //! Reads: how fresh they must be, and which target serves them.
 
 pub(crate) mod freshness;
-pub(crate) mod placing;
+pub(crate) mod position_samples;
 pub(crate) mod read_path;
-pub(crate) mod readings;
+pub(crate) mod target_selection;
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -13,7 +13,7 @@
 use gullspar_statement::{Answer, Failure, TransactionStatus};
 
 use crate::groups::group::Group;
-use crate::reading::placing::{self, Wanted};
+use crate::reading::target_selection::{self, ReadCriteria};
 use crate::session::refusal;
 use crate::session::request::Request;
 use crate::session::trace::Trace;
@@ -33,7 +33,7 @@
 const TRIES_AT_ONCE: usize = 3;
 
 /// One try of a read, while it runs.
-struct Try {
+struct ReadAttempt {
     member: MemberName,
     /// When it was begun, or last looked at while it waited for its place.
     looked_at: Cell<Instant>,
@@ -43,7 +43,7 @@
     withdraw: Event,
 }
 
-impl Try {
+impl ReadAttempt {
     /// When to look whether another try is due.
     fn look_at(&self, patience: Duration) -> Instant {
         self.sent_at.get().unwrap_or(self.looked_at.get()) + patience
@@ -51,29 +51,29 @@
 }
 
 /// Where a read goes.
-pub(crate) struct Place {
+pub(crate) struct SelectedTarget {
     pub(crate) target: Rc<Target>,
     /// `Some` on a replica: the point that it must have reached.
     pub(crate) at_least: Option<LogPoint>,
     /// How old the reading behind that point is.
-    pub(crate) reading_age: Option<Duration>,
+    pub(crate) sample_age: Option<Duration>,
 }
 
-impl Place {
+impl SelectedTarget {
     /// Notes the place as the next try.
-    pub(crate) fn note(&self, trace: &mut Trace) {
+    pub(crate) fn record_in(&self, trace: &mut Trace) {
         trace.member = Some(self.target.member());
         trace.on_leader = self.at_least.is_none();
         trace.at_least = self.at_least;
-        trace.reading_age_ms = self.reading_age.map(|it| it.as_millis() as u64);
+        trace.reading_age_ms = self.sample_age.map(|it| it.as_millis() as u64);
         trace.tries += 1;
     }
 }
 
 /// The point that a replica must have reached, and the age of the reading that says so.
-pub(crate) struct Needed {
+pub(crate) struct RequiredPoint {
     pub(crate) point: LogPoint,
-    pub(crate) reading_age: Duration,
+    pub(crate) sample_age: Duration,
 }
 
 impl Proxy {
@@ -87,15 +87,15 @@
         let clock = Rc::clone(&self.borders.clock);
         let (tx, mut rx) = mpsc::unbounded();
         let mut tried: Vec<MemberName> = Vec::new();
-        let mut running: Vec<Rc<Try>> = Vec::new();
+        let mut running: Vec<Rc<ReadAttempt>> = Vec::new();
         let mut last = NotRun::NoPrimary;
         let mut failed = None;
         let mut another_due = true;
         while clock.now() < req.deadline {
             if another_due && running.len() < TRIES_AT_ONCE {
-                if let Some(place) = self.place(group, req, &tried) {
+                if let Some(place) = self.select_read_target(group, req, &tried) {
                     tried.push(place.target.member());
-                    place.note(trace);
+                    place.record_in(trace);
                     if trace.tries > 1 {
                         self.spend_again(req.customer.as_ref());
                     }
@@ -133,7 +133,7 @@
                 AttemptOutcome::NotRun(reason) => last = reason,
                 AttemptOutcome::Refused(reason) => {
                     last = reason;
-                    if running.is_empty() && self.place(group, req, &tried).is_none() {
+                    if running.is_empty() && self.select_read_target(group, req, &tried).is_none() {
                         break;
                     }
                 }
@@ -159,7 +159,7 @@
         group: &Group,
         req: &Request,
         tried: &[MemberName],
-        newest: &Try,
+        newest: &ReadAttempt,
     ) -> bool {
         let now = self.borders.clock.now();
         if newest.sent_at.get().is_some() {
@@ -168,8 +168,9 @@
         newest.looked_at.set(now);
         let others: Vec<MemberName> =
             tried.iter().filter(|it| **it != newest.member).cloned().collect();
-        let better =
-            self.place(group, req, &others).filter(|it| it.target.member() != newest.member);
+        let better = self
+            .select_read_target(group, req, &others)
+            .filter(|it| it.target.member() != newest.member);
         if better.is_some() {
             newest.withdrawn.set(true);
             newest.withdraw.notify(usize::MAX);
@@ -178,31 +179,31 @@
     }
 
     /// The best place for a read now.
-    pub(crate) fn place(
+    pub(crate) fn select_read_target(
         &self,
         group: &Group,
         req: &Request,
         tried: &[MemberName],
-    ) -> Option<Place> {
-        let needed = self.needed_point(group, req);
-        let wanted = Wanted {
+    ) -> Option<SelectedTarget> {
+        let needed = self.required_point(group, req);
+        let wanted = ReadCriteria {
             at_least: needed.as_ref().map(|it| it.point),
             tried,
             own: &self.own.data_centre,
             customer: req.customer.as_ref(),
             now: self.borders.clock.now(),
         };
-        let target = placing::choose(group, &wanted)?;
+        let target = target_selection::select(group, &wanted)?;
         let needed = if group.is_leader(&target.member()) { None } else { needed };
-        Some(Place {
+        Some(SelectedTarget {
             target,
             at_least: needed.as_ref().map(|it| it.point),
-            reading_age: needed.map(|it| it.reading_age),
+            sample_age: needed.map(|it| it.sample_age),
         })
     }
 
     /// The point that a replica must have reached to serve `req`; `None` if only the leader can.
-    pub(crate) fn needed_point(&self, group: &Group, req: &Request) -> Option<Needed> {
+    pub(crate) fn required_point(&self, group: &Group, req: &Request) -> Option<RequiredPoint> {
         let max_age = req.freshness.max_age()?.saturating_sub(AGE_MARGIN);
         let now = self.borders.clock.boot_now();
         let reading = group.reading_within(now, max_age)?;
@@ -211,18 +212,18 @@
             Freshness::Latest | Freshness::MaxAge { .. } => None,
         };
         let point = own.map_or(reading.point, |it| it.max(reading.point));
-        Some(Needed { point, reading_age: now.since(reading.begun) })
+        Some(RequiredPoint { point, sample_age: now.since(reading.requested_at) })
     }
 
     fn spawn_try(
         self: &Rc<Self>,
         group: &Rc<Group>,
         req: &Rc<Request>,
-        place: Place,
-        tx: mpsc::UnboundedSender<(Rc<Try>, AttemptOutcome)>,
-    ) -> Rc<Try> {
+        place: SelectedTarget,
+        tx: mpsc::UnboundedSender<(Rc<ReadAttempt>, AttemptOutcome)>,
+    ) -> Rc<ReadAttempt> {
         let (this, group, req) = (Rc::clone(self), Rc::clone(group), Rc::clone(req));
-        let own = Rc::new(Try {
+        let own = Rc::new(ReadAttempt {
             member: place.target.member(),
             looked_at: Cell::new(this.borders.clock.now()),
             sent_at: Cell::new(None),
@@ -243,9 +244,9 @@
         &self,
         group: &Rc<Group>,
         req: &Request,
-        place: Place,
-        own: &Try,
-        tx: &mpsc::UnboundedSender<(Rc<Try>, AttemptOutcome)>,
+        place: SelectedTarget,
+        own: &ReadAttempt,
+        tx: &mpsc::UnboundedSender<(Rc<ReadAttempt>, AttemptOutcome)>,
     ) -> AttemptOutcome {
         let target = place.target;
         let withdraw = own.withdraw.listen();
@@ -274,7 +275,7 @@
         };
         match place.at_least {
             None => around.read_on_leader(req, permit).await,
-            Some(_) => match self.needed_point(group, req) {
+            Some(_) => match self.required_point(group, req) {
                 Some(needed) => around.read_on_replica(req, permit, needed.point).await,
                 None => AttemptOutcome::NotRun(NotRun::Behind),
             },
@@ -284,9 +285,9 @@
 
 async fn next_end(
     clock: &dyn gullspar_border::Clock,
-    rx: &mut mpsc::UnboundedReceiver<(Rc<Try>, AttemptOutcome)>,
+    rx: &mut mpsc::UnboundedReceiver<(Rc<ReadAttempt>, AttemptOutcome)>,
     until: Instant,
-) -> Result<(Rc<Try>, AttemptOutcome), DeadlinePassed> {
+) -> Result<(Rc<ReadAttempt>, AttemptOutcome), DeadlinePassed> {
     match within(clock, until, rx.next()).await? {
         Some(end) => Ok(end),
         // A sender is held while waiting, so that the channel can't have ended.
--- a/crates/gullspar_direct/src/reading/placing.rs
+++ b/crates/gullspar_direct/src/reading/target_selection.rs
@@ -25,7 +25,7 @@
 const UNKNOWN_MEAN: Duration = Duration::from_millis(20);
 
 /// Where a read may go and what it needs there.
-pub(crate) struct Wanted<'a> {
+pub(crate) struct ReadCriteria<'a> {
     /// The point that a replica must have reached; `None` when only the leader will do.
     pub(crate) at_least: Option<LogPoint>,
     /// Members tried already for this statement.
@@ -37,7 +37,7 @@
 }
 
 /// The best target for a read, if any can serve it now.
-pub(crate) fn choose(group: &Group, wanted: &Wanted<'_>) -> Option<Rc<Target>> {
+pub(crate) fn select(group: &Group, wanted: &ReadCriteria<'_>) -> Option<Rc<Target>> {
     let targets = group.targets();
     let usual = group.usual_mean().unwrap_or(UNKNOWN_MEAN);
     let able = |avoided: bool| {
@@ -53,7 +53,7 @@
     able(false).or_else(|| able(true))
 }
 
-fn is_able(group: &Group, target: &Target, wanted: &Wanted<'_>) -> bool {
+fn is_able(group: &Group, target: &Target, wanted: &ReadCriteria<'_>) -> bool {
     if group.is_leader(&target.member()) {
         return !target.is_closed_to_new_work();
     }
@@ -61,7 +61,7 @@
     !target.spec().leaving && !target.is_behind(point, wanted.now)
 }
 
-fn cost(group: &Group, target: &Target, wanted: &Wanted<'_>, usual: Duration) -> Duration {
+fn cost(group: &Group, target: &Target, wanted: &ReadCriteria<'_>, usual: Duration) -> Duration {
     let spec = target.spec();
     let mut cost = target.expected_duration(usual);
     if spec.data_centre != *wanted.own {
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -11,7 +11,7 @@
 use gullspar_statement::{Answer, Failure, FailureCode, TargetCommand, TransactionStatus};
 
 use crate::groups::group::Group;
-use crate::reading::read_path::Place;
+use crate::reading::read_path::SelectedTarget;
 use crate::session::refusal;
 use crate::session::request::Request;
 use crate::session::trace::Trace;
@@ -205,7 +205,7 @@
                 continue;
             };
             tried.push(place.target.member());
-            place.note(&mut self.trace);
+            place.record_in(&mut self.trace);
             match self.begin_at(proxy, req, place).await {
                 Ok(answer) => {
                     self.begun = true;
@@ -224,12 +224,12 @@
         self.fail(failure)
     }
 
-    fn place(&self, proxy: &Proxy, req: &Request, tried: &[MemberName]) -> Option<Place> {
+    fn place(&self, proxy: &Proxy, req: &Request, tried: &[MemberName]) -> Option<SelectedTarget> {
         if self.read_only && req.freshness != Freshness::Latest {
-            return proxy.place(&self.group, req, tried);
+            return proxy.select_read_target(&self.group, req, tried);
         }
         let target = self.group.serving_leader().filter(|it| !tried.contains(&it.member()))?;
-        Some(Place { target, at_least: None, reading_age: None })
+        Some(SelectedTarget { target, at_least: None, sample_age: None })
     }
 
     /// Tries one place. Whatever went wrong there, nothing of the transaction is kept: its connection is
@@ -238,7 +238,7 @@
         &mut self,
         proxy: &Rc<Proxy>,
         req: &Request,
-        place: Place,
+        place: SelectedTarget,
     ) -> Result<Answer, NotBegun> {
         let permit = place.target.admit(req).await?;
         let around = AttemptContext {
@@ -250,7 +250,7 @@
         let begin = match place.at_least {
             None => TargetCommand::Begin,
             Some(_) => TargetCommand::BeginReadOnly {
-                at_least: Some(proxy.needed_point(&self.group, req).ok_or(NotRun::Behind)?.point),
+                at_least: Some(proxy.required_point(&self.group, req).ok_or(NotRun::Behind)?.point),
             },
         };
         if let TargetCommand::BeginReadOnly { at_least: Some(point) } = begin {
--- a/crates/gullspar_direct/src/writing/write_path.rs
+++ b/crates/gullspar_direct/src/writing/write_path.rs
@@ -9,7 +9,7 @@
 
 use crate::Proxy;
 use crate::groups::group::Group;
-use crate::reading::read_path::Place;
+use crate::reading::read_path::SelectedTarget;
 use crate::session::refusal;
 use crate::session::request::Request;
 use crate::session::trace::Trace;
@@ -36,8 +36,9 @@
                 last = NotRun::NoPrimary;
                 break;
             }
-            let place = Place { target: Rc::clone(&target), at_least: None, reading_age: None };
-            place.note(trace);
+            let place =
+                SelectedTarget { target: Rc::clone(&target), at_least: None, sample_age: None };
+            place.record_in(trace);
             match self.try_write(group, req, target).await {
                 AttemptOutcome::Answered(answer) => return answer,
                 AttemptOutcome::NotRun(reason) => {
--- a/crates/gullspar_direct/tests/knowledge.rs
+++ b/crates/gullspar_direct/tests/knowledge.rs
@@ -6,7 +6,8 @@
 
 use gullspar_border::BootInstant;
 use gullspar_direct::{
-    Ballot, ClaimBook, ClaimNote, Directory, FencingToken, Reading, Readings, TargetList, Verdict,
+    Ballot, ClaimBook, ClaimNote, Directory, FencingToken, PositionSample, PositionSamples,
+    TargetList, Verdict,
 };
 use gullspar_model::{InstanceId, LogPoint, Revision};
 use gullspar_statement::TargetSpec;
@@ -17,14 +18,14 @@
     BootInstant(1_000_000 + ms * 1000)
 }
 
-fn reading(ms: u64, term: u64, position: u64) -> Reading {
-    Reading { begun: at(ms), point: LogPoint::new(term, position) }
+fn reading(ms: u64, term: u64, position: u64) -> PositionSample {
+    PositionSample { requested_at: at(ms), point: LogPoint::new(term, position) }
 }
 
 /// The oldest reading within the allowed age asks the least of a replica and still covers everything.
 #[test]
 fn the_oldest_reading_within_the_age_is_taken() {
-    let mut readings = Readings::default();
+    let mut readings = PositionSamples::default();
     for step in 0..10 {
         readings.add(reading(step * 100, 1, step));
     }
@@ -38,7 +39,7 @@
 /// Cause: a position of the old term, whose commits were rolled back, was asked of the new log.
 #[test]
 fn readings_of_an_older_term_are_dropped() {
-    let mut readings = Readings::default();
+    let mut readings = PositionSamples::default();
     readings.add(reading(0, 1, 90));
     readings.add(reading(100, 2, 80));
     readings.add(reading(150, 1, 91));
@@ -49,7 +50,7 @@
 /// A reading that arrives late stands where it was begun.
 #[test]
 fn late_readings_are_sorted_in() {
-    let mut readings = Readings::default();
+    let mut readings = PositionSamples::default();
     readings.add(reading(200, 1, 5));
     readings.add(reading(100, 1, 3));
     let found = readings.oldest_within(at(250), Duration::from_millis(160));
