--- a/crates/gullspar_customer/src/leased_tokens.rs
+++ b/crates/gullspar_customer/src/leased_tokens.rs
@@ -30,13 +30,13 @@
 
 /// What becomes of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spending {
+pub enum ConsumeOutcome {
     /// It may run.
     Granted,
     /// The customer is at its limit; the time after which to come back.
     Exhausted { retry_after: Duration },
     /// The owner has to be asked.
-    Unfunded,
+    NeedsGrant,
 }
 
 /// Tokens that were granted to this instance, and how it goes on while nobody grants any.
@@ -74,28 +74,30 @@
     }
 
     /// Spends a token for one operation, if there is one.
-    pub fn spend(&mut self, now: BootInstant) -> Spending {
+    pub fn consume(&mut self, now: BootInstant) -> ConsumeOutcome {
         if now >= self.expires_at {
             self.tokens = 0;
         }
         if self.tokens > 0 {
             self.tokens -= 1;
             self.note_operation(now);
-            return Spending::Granted;
+            return ConsumeOutcome::Granted;
         }
         match self.exhausted_until {
-            Some(until) if now < until => Spending::Exhausted { retry_after: until.since(now) },
-            _ => Spending::Unfunded,
+            Some(until) if now < until => {
+                ConsumeOutcome::Exhausted { retry_after: until.since(now) }
+            }
+            _ => ConsumeOutcome::NeedsGrant,
         }
     }
 
     /// Spends a token for an operation that could not wait to be granted, such as the second try of a read.
-    pub fn spend_unasked(&mut self) {
+    pub fn consume_if_available(&mut self) {
         self.tokens = self.tokens.saturating_sub(1);
     }
 
     /// Takes what the owner granted.
-    pub fn take(&mut self, grant: &TokenGrant, now: BootInstant) {
+    pub fn apply_grant(&mut self, grant: &TokenGrant, now: BootInstant) {
         if now >= self.expires_at {
             self.tokens = 0;
         }
@@ -114,7 +116,7 @@
     ///
     /// The owner may be gone or cut off. Its successor grants nothing for a second, in which instances go on at the rate
     /// that they had; together that is no more than the customer was granted before.
-    pub fn spend_in_grace(&mut self, now: BootInstant) -> bool {
+    pub fn consume_in_grace_period(&mut self, now: BootInstant) -> bool {
         let at_limit = self.exhausted_at.is_some_and(|at| now.since(at) < AT_LIMIT_FOR);
         let time = if at_limit { GRACE_AT_LIMIT } else { GRACE };
         let allowed = (self.rate * time.as_secs_f64()).max(1.0);
@@ -131,13 +133,13 @@
     }
 
     /// Tokens to ask for: those for the operations that wait, and for those expected until tokens expire.
-    pub fn wanted(&self, waiting: u32, now: BootInstant) -> u32 {
+    pub fn tokens_to_request(&self, waiting: u32, now: BootInstant) -> u32 {
         let expected = self.rate_at(now) * SPEND_WITHIN.as_secs_f64();
         waiting + expected as u32
     }
 
     /// Whether to ask for more before operations have to wait.
-    pub fn runs_low(&self, now: BootInstant) -> bool {
+    pub fn is_running_low(&self, now: BootInstant) -> bool {
         let usual = self.rate_at(now) * SPEND_WITHIN.as_secs_f64();
         usual >= 2.0 && f64::from(self.tokens) * 2.0 < usual
     }
--- a/crates/gullspar_customer/src/lib.rs
+++ b/crates/gullspar_customer/src/lib.rs
@@ -13,8 +13,8 @@
 
 pub use customers::Customers;
 pub use key_fingerprint::KeyFingerprint;
-pub use leased_tokens::{LeasedTokens, Spending};
-pub use owned_quotas::{OwnedQuotas, SETTLE_FOR};
+pub use leased_tokens::{ConsumeOutcome, LeasedTokens};
+pub use owned_quotas::{OwnedQuotas, SETTLE_PERIOD};
 pub use rate_limit::RateLimit;
 pub use token_bucket::TokenBucket;
 pub use token_message::{QuotaHandover, TokenGrant, TokenRequest};
--- a/crates/gullspar_customer/src/owned_quotas.rs
+++ b/crates/gullspar_customer/src/owned_quotas.rs
@@ -10,7 +10,7 @@
 
 /// How long an instance that has become the owner of a quota grants nothing from it: until all have heard of the change,
 /// its predecessor may still grant.
-pub const SETTLE_FOR: Duration = Duration::from_secs(1);
+pub const SETTLE_PERIOD: Duration = Duration::from_secs(1);
 
 /// One quota for each customer that asked here.
 ///
@@ -42,7 +42,7 @@
         now: BootInstant,
     ) -> TokenGrant {
         let begin = || {
-            let opens_at = owner_since.plus(SETTLE_FOR);
+            let opens_at = owner_since.plus(SETTLE_PERIOD);
             Entry { bucket: TokenBucket::empty_since(limit, opens_at, now), opens_at }
         };
         let entry = self.entries.entry(req.customer.clone()).or_insert_with(begin);
@@ -51,7 +51,7 @@
             bucket.set_limit(limit, part, now);
         }
         bucket.refill(part, now);
-        let tokens = bucket.take(req.wanted);
+        let tokens = bucket.consume(req.wanted);
         TokenGrant {
             customer: req.customer.clone(),
             tokens,
@@ -72,8 +72,8 @@
     }
 
     /// Goes on where the owner before ended; there is nothing to wait for then.
-    pub fn take_over(&mut self, handover: &QuotaHandover, limit: RateLimit, now: BootInstant) {
-        let bucket = TokenBucket::with(limit, handover.thousandths, now);
+    pub fn apply_handover(&mut self, handover: &QuotaHandover, limit: RateLimit, now: BootInstant) {
+        let bucket = TokenBucket::with_thousandths(limit, handover.thousandths, now);
         let known = self.entries.get(&handover.customer);
         if known.is_none_or(|it| now < it.opens_at) {
             self.entries.insert(handover.customer.clone(), Entry { bucket, opens_at: now });
--- a/crates/gullspar_customer/src/token_bucket.rs
+++ b/crates/gullspar_customer/src/token_bucket.rs
@@ -24,7 +24,7 @@
     }
 
     /// A bucket with this many thousandths of a token.
-    pub fn with(limit: RateLimit, thousandths: i64, now: BootInstant) -> TokenBucket {
+    pub fn with_thousandths(limit: RateLimit, thousandths: i64, now: BootInstant) -> TokenBucket {
         let tokens = (thousandths as f64 / 1000.0).min(capacity(limit));
         TokenBucket { limit, tokens, refilled_at: now }
     }
@@ -50,7 +50,7 @@
     }
 
     /// Takes up to `wanted` whole tokens.
-    pub fn take(&mut self, wanted: u32) -> u32 {
+    pub fn consume(&mut self, wanted: u32) -> u32 {
         let taken = (self.tokens.max(0.0) as u32).min(wanted);
         self.tokens -= f64::from(taken);
         taken
--- a/crates/gullspar_customer/src/token_message.rs
+++ b/crates/gullspar_customer/src/token_message.rs
@@ -13,7 +13,7 @@
         /// Where to answer; an instance that is not the owner passes the question on.
         pub reply_to: SocketAddr,
         /// It was passed on once, and is not passed on again.
-        pub is_passed_on: bool,
+        pub is_forwarded: bool,
     }
 }
 
--- a/crates/gullspar_customer/tests/support/mod.rs
+++ b/crates/gullspar_customer/tests/support/mod.rs
@@ -9,7 +9,7 @@
 
 use gullspar_border::BootInstant;
 use gullspar_customer::{
-    LeasedTokens, OwnedQuotas, QuotaHandover, RateLimit, Spending, TokenGrant, TokenRequest,
+    ConsumeOutcome, LeasedTokens, OwnedQuotas, QuotaHandover, RateLimit, TokenGrant, TokenRequest,
 };
 use gullspar_model::CustomerName;
 use random::Random;
@@ -70,7 +70,7 @@
 }
 
 enum Message {
-    Ask { to: usize, from: usize, wanted: u32, is_passed_on: bool },
+    Ask { to: usize, from: usize, wanted: u32, is_forwarded: bool },
     Grant { to: usize, grant: TokenGrant },
     Handover { to: usize, thousandths: i64 },
     Learn { at: usize, about: usize, is_member: bool },
@@ -249,14 +249,14 @@
                 return;
             }
             match entry.remove() {
-                Message::Ask { to, from, wanted, is_passed_on } => {
-                    self.grant(to, from, wanted, is_passed_on);
+                Message::Ask { to, from, wanted, is_forwarded } => {
+                    self.grant(to, from, wanted, is_forwarded);
                 }
                 Message::Grant { to, grant } => self.take_grant(to, &grant),
                 Message::Handover { to, thousandths } => {
                     let handover = QuotaHandover { customer: customer(), thousandths };
                     let (limit, now) = (self.limit, self.boot());
-                    self.nodes[to].quota.take_over(&handover, limit, now);
+                    self.nodes[to].quota.apply_handover(&handover, limit, now);
                 }
                 Message::Learn { at, about, is_member } => {
                     self.nodes[at].members[about] = is_member;
@@ -290,11 +290,11 @@
         if missing >= 0.2 { 1.0 - missing } else { 1.0 }
     }
 
-    fn grant(&mut self, at: usize, from: usize, wanted: u32, is_passed_on: bool) {
+    fn grant(&mut self, at: usize, from: usize, wanted: u32, is_forwarded: bool) {
         let owner = self.owner_for(at);
         if owner != at {
-            if !is_passed_on {
-                self.send(at, owner, Message::Ask { to: owner, from, wanted, is_passed_on: true });
+            if !is_forwarded {
+                self.send(at, owner, Message::Ask { to: owner, from, wanted, is_forwarded: true });
             }
             return;
         }
@@ -302,7 +302,7 @@
             customer: customer(),
             wanted,
             reply_to: ([127, 0, 0, 1], 1).into(),
-            is_passed_on,
+            is_forwarded,
         };
         let (part, now, limit) = (self.part(at), self.boot(), self.limit);
         let since = BootInstant(self.nodes[at].changed_at);
@@ -317,7 +317,7 @@
     fn take_grant(&mut self, at: usize, grant: &TokenGrant) {
         let now = self.boot();
         let node = &mut self.nodes[at];
-        node.leased.take(grant, now);
+        node.leased.apply_grant(grant, now);
         node.is_unfunded = grant.is_settling;
         node.asked_at = None;
         let waiting = std::mem::take(&mut node.waiting);
@@ -357,21 +357,21 @@
 
     fn try_again(&mut self, home: usize, tries: u32) {
         let now = self.boot();
-        match self.nodes[home].leased.spend(now) {
-            Spending::Granted => {
+        match self.nodes[home].leased.consume(now) {
+            ConsumeOutcome::Granted => {
                 self.note(true);
-                if self.nodes[home].leased.runs_low(now) {
+                if self.nodes[home].leased.is_running_low(now) {
                     self.ask(home);
                 }
             }
-            Spending::Exhausted { .. } => self.note(false),
-            Spending::Unfunded if self.nodes[home].is_unfunded || tries == TRIES => {
+            ConsumeOutcome::Exhausted { .. } => self.note(false),
+            ConsumeOutcome::NeedsGrant if self.nodes[home].is_unfunded || tries == TRIES => {
                 self.nodes[home].is_unfunded = true;
                 self.ask(home);
-                let runs = self.nodes[home].leased.spend_in_grace(now);
+                let runs = self.nodes[home].leased.consume_in_grace_period(now);
                 self.note(runs);
             }
-            Spending::Unfunded => {
+            ConsumeOutcome::NeedsGrant => {
                 self.nodes[home].waiting.push_back(Waiting { until: self.now + ASK_WITHIN, tries });
                 self.ask(home);
             }
@@ -384,7 +384,7 @@
         }
         self.nodes[home].asked_at = Some(self.now);
         let waiting = self.nodes[home].waiting.len().max(1) as u32;
-        let wanted = self.nodes[home].leased.wanted(waiting, self.boot());
+        let wanted = self.nodes[home].leased.tokens_to_request(waiting, self.boot());
         let owner = self.owner_for(home);
         if owner == home {
             self.grant(home, home, wanted, false);
@@ -392,7 +392,7 @@
             self.send(
                 home,
                 owner,
-                Message::Ask { to: owner, from: home, wanted, is_passed_on: false },
+                Message::Ask { to: owner, from: home, wanted, is_forwarded: false },
             );
         }
     }
--- a/crates/gullspar_direct/src/fleet/limits.rs
+++ b/crates/gullspar_direct/src/fleet/limits.rs
@@ -12,7 +12,7 @@
 use event_listener::Event;
 use gullspar_border::{BootInstant, within};
 use gullspar_customer::{
-    LeasedTokens, OwnedQuotas, QuotaHandover, Spending, TokenGrant, TokenRequest,
+    ConsumeOutcome, LeasedTokens, OwnedQuotas, QuotaHandover, TokenGrant, TokenRequest,
 };
 use gullspar_model::{CustomerName, NotRun};
 
@@ -76,18 +76,18 @@
         let mut tries = 0;
         loop {
             let now = self.borders.clock.boot_now();
-            let spending = account.leased.borrow_mut().spend(now);
+            let spending = account.leased.borrow_mut().consume(now);
             match spending {
-                Spending::Granted => {
-                    if account.leased.borrow().runs_low(now) {
+                ConsumeOutcome::Granted => {
+                    if account.leased.borrow().is_running_low(now) {
                         self.ask(customer, &account, now);
                     }
                     return Ok(());
                 }
-                Spending::Exhausted { retry_after } => {
+                ConsumeOutcome::Exhausted { retry_after } => {
                     return Err(self.limited(customer, retry_after));
                 }
-                Spending::Unfunded => {}
+                ConsumeOutcome::NeedsGrant => {}
             }
             if tries == TRIES {
                 account.is_unfunded.set(true);
@@ -116,7 +116,7 @@
         if let Some(account) =
             customer.and_then(|it| self.limits.accounts.borrow().get(it).cloned())
         {
-            account.leased.borrow_mut().spend_unasked();
+            account.leased.borrow_mut().consume_if_available();
         }
     }
 
@@ -126,7 +126,7 @@
         account: &Account,
         now: BootInstant,
     ) -> Result<(), NotRun> {
-        if account.leased.borrow_mut().spend_in_grace(now) {
+        if account.leased.borrow_mut().consume_in_grace_period(now) {
             self.borders.stats.ran_in_grace();
             return Ok(());
         }
@@ -164,12 +164,12 @@
             return;
         }
         account.asked_at.set(Some(now));
-        let wanted = account.leased.borrow().wanted(account.waiting.get().max(1), now);
+        let wanted = account.leased.borrow().tokens_to_request(account.waiting.get().max(1), now);
         let req = TokenRequest {
             customer: customer.clone(),
             wanted,
             reply_to: self.own.address,
-            is_passed_on: false,
+            is_forwarded: false,
         };
         let owner = self.owner_as_known(customer, account, now);
         if owner == self.own.address {
@@ -220,9 +220,9 @@
         if owner == self.own.address {
             let grant = self.grant(req, self.borders.clock.boot_now());
             self.borders.peers.send(req.reply_to, &PeerMessage::TokenGrant(grant));
-        } else if !req.is_passed_on {
+        } else if !req.is_forwarded {
             // Instances learn of each other at different moments.
-            let passed_on = TokenRequest { is_passed_on: true, ..req.clone() };
+            let passed_on = TokenRequest { is_forwarded: true, ..req.clone() };
             self.borders.peers.send(owner, &PeerMessage::TokenRequest(passed_on));
         }
     }
@@ -232,7 +232,7 @@
         let limit = self.directory.catalogue().and_then(|it| it.limit(&handover.customer));
         if let Some(limit) = limit {
             let now = self.borders.clock.boot_now();
-            self.limits.quotas.borrow_mut().take_over(handover, limit, now);
+            self.limits.quotas.borrow_mut().apply_handover(handover, limit, now);
         }
     }
 
@@ -272,7 +272,7 @@
         let account = self.limits.accounts.borrow().get(&grant.customer).cloned();
         let Some(account) = account else { return };
         let now = self.borders.clock.boot_now();
-        account.leased.borrow_mut().take(grant, now);
+        account.leased.borrow_mut().apply_grant(grant, now);
         account.is_unfunded.set(grant.is_settling);
         account.asked_at.set(None);
         account.answered.notify(usize::MAX);
