--- a/crates/gullspar_direct/src/targets/attempt.rs
+++ b/crates/gullspar_direct/src/targets/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a statement on one target.
+//! A single attempt to run a statement on one target.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,31 +14,29 @@
 use crate::targets::connection_pool::Lease;
 use crate::targets::target::Target;
 
-/// How long opening or closing a transaction of our own around a read may take; targets answer it
-/// without a slot.
-const BRACKET_WITHIN: Duration = Duration::from_millis(400);
+/// How long opening or rolling back a transaction may take; targets answer both without using a slot.
+const TRANSACTION_CONTROL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a statement without an answer keeps others from its place at the target.
+/// How long an unanswered statement holds its permit; longer than any statement usually takes.
 ///
-/// Its answer is probably lost then: statements take a third of this at the most. Held until the deadline, one lost
-/// answer would stop an instance's only place at a leader.
-const PLACE_HELD_FOR: Duration = Duration::from_millis(250);
+/// A permit held until the deadline would let one lost answer block an instance that has a single permit at a leader.
+const PERMIT_HOLD_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How one try ended.
+/// How one attempt ended.
 pub(crate) enum AttemptOutcome {
     /// The target answered; the answer may be a failure.
     Answered(Answer),
-    /// It certainly did not run.
+    /// The statement certainly did not run.
     NotRun(NotRun),
-    /// This instance has too many of its own before the target; it was not sent.
+    /// The statement was not sent: it got no permit for the target.
     Refused(NotRun),
-    /// It was sent, and no answer came or will come.
+    /// The connection broke after the statement was sent, so no answer will come.
     Lost,
-    /// It was sent, and no answer came in time.
+    /// The statement was sent, and no answer came before the deadline.
     Silent,
 }
 
-/// What a try needs to know of its surroundings.
+/// The group and target of an attempt, with the interfaces to clock, network and metrics.
 #[derive(Clone)]
 pub(crate) struct AttemptContext {
     pub(crate) borders: Borders,
@@ -47,7 +45,7 @@
 }
 
 impl AttemptContext {
-    /// Takes a connection for `req`.
+    /// Acquires a connection for `req`; on failure the target is avoided for a short time.
     pub(crate) async fn lease(&self, req: &Request, deadline: Instant) -> Result<Lease, NotRun> {
         let taken = {
             let spec = self.target.spec();
@@ -59,7 +57,7 @@
         taken
     }
 
-    /// Reads on a replica whose log must reach `at_least`.
+    /// Runs a read on a replica whose log must have reached `at_least`.
     pub(crate) async fn read_on_replica(
         &self,
         req: &Request,
@@ -77,10 +75,10 @@
         end
     }
 
-    /// Reads on the leader, inside a transaction that only a member that leads opens.
+    /// Runs a read on the leader, inside a transaction that only the current leader opens.
     ///
-    /// A member that lost the lead unnoticed still answers a bare read, from a log that lacks what the
-    /// new leader acknowledged; a caller would not see its own write. It refuses the transaction.
+    /// A member that is no longer the leader still answers a read outside a transaction, but its log may lack commits
+    /// that the new leader acknowledged. It refuses to open the transaction.
     pub(crate) async fn read_on_leader(&self, req: &Request, permit: Permit) -> AttemptOutcome {
         let mut lease = match self.lease(req, req.deadline).await {
             Ok(lease) => lease,
@@ -92,13 +90,13 @@
         let (end, lease) = self.run(req, permit, lease, None).await;
         if let Some(lease) = lease {
             let this = self.clone();
-            // The caller need not wait until the transaction has ended.
+            // Rolls back in the background; the caller has its answer already.
             compio::runtime::spawn(async move { this.roll_back(lease).await }).detach();
         }
         end
     }
 
-    /// Opens a transaction by `begin`; an error gives what to do instead.
+    /// Opens a transaction with `begin`. An error holds the outcome of the whole attempt.
     pub(crate) async fn open_transaction(
         &self,
         req: &Request,
@@ -106,9 +104,9 @@
         begin: TargetCommand,
     ) -> Result<(), AttemptOutcome> {
         let clock = &self.borders.clock;
-        let plain = begin == TargetCommand::Begin;
+        let is_plain = begin == TargetCommand::Begin;
         let begun = clock.boot_now();
-        let deadline = (clock.now() + BRACKET_WITHIN).min(req.deadline);
+        let deadline = (clock.now() + TRANSACTION_CONTROL_TIMEOUT).min(req.deadline);
         let Some(connection) = lease.connection() else {
             return Err(AttemptOutcome::NotRun(NotRun::Unreachable));
         };
@@ -122,20 +120,20 @@
         };
         match answer.result {
             Ok(_) => {
-                if plain && let Some(point) = answer.point {
+                if is_plain && let Some(point) = answer.point {
                     self.group.add_reading(point, begun);
                 }
                 self.target.record_point(answer.point);
                 Ok(())
             }
             Err(failure) => {
-                let reason = self.refused(&failure.code);
+                let reason = self.not_run_reason(&failure.code);
                 Err(AttemptOutcome::NotRun(reason.unwrap_or(NotRun::Unreachable)))
             }
         }
     }
 
-    /// Runs `req` on a connection that is ready for it; gives the connection back if it is sound.
+    /// Runs `req` on the leased connection. The lease is returned with the outcome if the connection can be reused.
     pub(crate) async fn run(
         &self,
         req: &Request,
@@ -149,7 +147,7 @@
         }
     }
 
-    /// Like [`run`](AttemptContext::run), with the answer as the target gave it.
+    /// Like [`run`](AttemptContext::run), but returns the target's answer unclassified.
     pub(crate) async fn run_raw(
         &self,
         req: &Request,
@@ -163,15 +161,15 @@
         };
         let commands = req.commands(connection, at_least);
         let started = clock.now();
-        let _counted = self.target.start_statement();
+        let _in_flight = self.target.start_statement();
         let exchanged = {
             let exchange = connection.exchange(commands);
             futures::pin_mut!(exchange);
-            let free_at = (started + PLACE_HELD_FOR).min(req.deadline);
-            let soon = within(&**clock, free_at, &mut exchange).await;
+            let release_at = (started + PERMIT_HOLD_TIMEOUT).min(req.deadline);
+            let early = within(&**clock, release_at, &mut exchange).await;
             let taken = clock.now().saturating_duration_since(started);
             self.target.release_permit(permit, taken, self.group.usual_mean());
-            match soon {
+            match early {
                 Ok(result) => Ok(result),
                 Err(DeadlinePassed) => within(&**clock, req.deadline, exchange).await,
             }
@@ -179,7 +177,7 @@
         let mut answers = match exchanged {
             Ok(Ok(answers)) => answers,
             Ok(Err(err)) => {
-                log::info!(request = req.id.as_str(), member = self.target.member().as_str(), reason = err.to_string().as_str(); "G0710 a target's connection broke during a statement");
+                log::info!(request = req.id.as_str(), member = self.target.member().as_str(), reason = err.to_string().as_str(); "G0710 the connection to a target broke during a statement");
                 self.group.check();
                 return Err(AttemptOutcome::Lost);
             }
@@ -204,8 +202,8 @@
             self.target.record_behind(point, clock.now());
         }
         if !answers.iter().all(Answer::is_plain_success) {
-            // The session's values may not be on it, so nobody else may get it.
-            log::warn!(request = req.id.as_str(), member = self.target.member().as_str(); "G0712 a target refused a session's values");
+            // The connection may lack the session's values, so it isn't reused.
+            log::warn!(request = req.id.as_str(), member = self.target.member().as_str(); "G0712 a target refused to set the values of a session");
             return Ok((answer, None));
         }
         Ok((answer, Some(lease)))
@@ -213,7 +211,7 @@
 
     fn classify(&self, answer: Answer) -> AttemptOutcome {
         let reason = match &answer.result {
-            Err(failure) => self.refused(&failure.code),
+            Err(failure) => self.not_run_reason(&failure.code),
             Ok(_) => None,
         };
         match reason {
@@ -222,8 +220,10 @@
         }
     }
 
-    /// Why the target did not run a statement, by its code; `None` if it may have run.
-    fn refused(&self, code: &FailureCode) -> Option<NotRun> {
+    /// Maps a failure code to the reason why the statement did not run; `None` if it may have run.
+    ///
+    /// Also records what the code says about the target: to be avoided, or not the leader.
+    fn not_run_reason(&self, code: &FailureCode) -> Option<NotRun> {
         let now = self.borders.clock.now();
         match code {
             FailureCode::Congested | FailureCode::TooManyConnections => {
@@ -241,10 +241,10 @@
         }
     }
 
-    /// Ends a transaction without keeping anything and gives the connection back.
+    /// Rolls back the open transaction and returns the connection to its pool.
     pub(crate) async fn roll_back(&self, mut lease: Lease) {
         let clock = &self.borders.clock;
-        let deadline = clock.now() + BRACKET_WITHIN;
+        let deadline = clock.now() + TRANSACTION_CONTROL_TIMEOUT;
         let Some(connection) = lease.connection() else { return };
         let ended = connection.exchange(vec![TargetCommand::RollBack]);
         if let Ok(Ok(answers)) = within(&**clock, deadline, ended).await
--- a/crates/gullspar_direct/src/targets/connection_pool.rs
+++ b/crates/gullspar_direct/src/targets/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections of this instance to one target.
+//! Pool of this instance's connections to one target.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,32 +16,29 @@
 use crate::targets::pooled_connection::PooledConnection;
 use crate::{Borders, Stats};
 
-/// How long opening a connection may take, its handshake included.
-///
-/// Handshakes are short and queue for a slot; a target that needs longer is as good as away.
-const OPEN_WITHIN: Duration = Duration::from_millis(600);
+/// How long opening a connection may take, including its handshake and the wait for a slot at the target.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a connection of our own may take to come back before another one is opened.
+/// How long to wait for a connection in use to be returned before another one is opened.
 ///
-/// A read on a leader ends with a rollback, which is answered a moment after the caller has its answer. A statement
-/// that comes in between would open another connection, and that takes a slot for longer than this.
-const RETURN_WITHIN: Duration = Duration::from_millis(4);
+/// A read on a leader ends with a rollback, which completes shortly after the caller has its answer. A statement that
+/// arrives in between waits, since opening another connection takes longer and uses a slot.
+const RETURN_TIMEOUT: Duration = Duration::from_millis(4);
 
-/// The part of an instance's connections that may lie idle, in percent.
+/// Percentage of this instance's share of connections that may stay idle.
 ///
-/// A target keeps the connections of instances that lost power for three seconds. Unless half of what it takes is free,
-/// those that start again meanwhile are refused, and so is whoever takes the place of an instance that leaves.
-const KEPT_PERCENT: u32 = 50;
+/// A target keeps the connections of instances that lost power for some seconds. Enough must be free for those
+/// instances when they restart, and for instances that take over from one that leaves.
+const MAX_IDLE_PERCENT: u32 = 50;
 
-/// Connections beyond the share that a burst may open; seldom all instances have one at once.
-const BURST: u32 = 1;
+/// Connections that a burst may open beyond the share.
+const BURST_CONNECTIONS: u32 = 1;
 
-/// Connections being opened at the same time. Each takes one of the target's few slots, so that opening many keeps the
-/// target from the statements that they are opened for.
-const MOST_DIALS: u32 = 2;
+/// Maximum number of connections opened at the same time. Opening takes a slot at the target, which statements need.
+const MAX_CONCURRENT_DIALS: u32 = 2;
 
-/// How long a check may wait for a connection that statements open.
-const CHECK_WAITS: Duration = Duration::from_millis(50);
+/// How long a check waits while statements open connections.
+const CHECK_WAIT_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Connections to one target, open or idle, each for one customer.
 pub(crate) struct ConnectionPool {
@@ -52,29 +49,30 @@
     idle: IdleConnections,
     open: Cell<u32>,
     share: Cell<u32>,
-    stays: Cell<bool>,
+    is_long_term: Cell<bool>,
     /// Connections in use, by customer.
     in_use: RefCell<BTreeMap<Option<CustomerName>, u32>>,
     dials: Cell<u32>,
-    pace: DialThrottle,
-    /// Who had a connection last.
+    throttle: DialThrottle,
+    /// The customer that last acquired a connection.
     last_customer: RefCell<Option<CustomerName>>,
     freed: Event,
     closed: Cell<bool>,
 }
 
-/// A connection in use; dropped without being given back it is closed, which rolls back.
+/// A connection in use. Dropping the lease without returning it closes the connection, which rolls back an open
+/// transaction.
 pub(crate) struct Lease {
     pool: Rc<ConnectionPool>,
     customer: Option<CustomerName>,
     connection: Option<PooledConnection>,
-    /// When the connection was last in use for a caller, for one that is not in use for a caller now.
+    /// Set in a lease for a check: when a caller last used the connection.
     idle_since: Option<Instant>,
-    /// It is idle in the pool again and stays open.
-    kept: bool,
+    /// Whether the connection was returned to the pool.
+    is_returned: bool,
 }
 
-/// A connection being opened.
+/// Counts a connection as being opened until it is dropped.
 struct Dial<'a> {
     pool: &'a ConnectionPool,
 }
@@ -96,71 +94,75 @@
             idle: IdleConnections::default(),
             open: Cell::new(0),
             share: Cell::new(1),
-            stays: Cell::new(true),
+            is_long_term: Cell::new(true),
             in_use: RefCell::default(),
             dials: Cell::new(0),
-            pace: DialThrottle::default(),
+            throttle: DialThrottle::default(),
             last_customer: RefCell::default(),
             freed: Event::new(),
             closed: Cell::new(false),
         })
     }
 
-    /// Sets how many connections this instance may keep.
+    /// Sets this instance's share of the target's connections; at least one.
     pub(crate) fn set_share(&self, share: u32) {
         self.share.set(share.max(1));
     }
 
-    /// Closes what is idle and keeps nothing from now on.
+    /// Closes the idle connections, and from now on closes those that are returned.
     pub(crate) fn close(&self) {
         self.closed.set(true);
         self.close_idle();
     }
 
-    /// Closes all idle connections, as when the target went dark: they would only be found silent.
+    /// Closes all idle connections, for example when the target became unresponsive.
     pub(crate) fn close_idle(&self) {
-        self.note_closed(self.idle.clear());
+        self.record_closed(self.idle.clear());
         self.freed.notify(usize::MAX);
     }
 
-    /// Closes idle connections that nobody wanted for a while.
+    /// Closes surplus idle connections.
     pub(crate) fn close_surplus(&self) {
-        self.note_closed(self.idle.close_surplus(self.kept_idle(), self.clock.now()));
+        self.record_closed(self.idle.close_surplus(self.max_idle(), self.clock.now()));
     }
 
-    fn note_closed(&self, closed: u32) {
+    fn record_closed(&self, closed: u32) {
         self.open.set(self.open.get() - closed);
     }
 
-    /// What a statement of `customer` is expected to wait for a connection here.
+    /// The expected time to get a connection for a statement of `customer`.
     pub(crate) fn opening_cost(&self, customer: &CustomerName) -> Duration {
-        if self.idle.has(customer) { Duration::ZERO } else { self.pace.usual_dial() }
+        if self.idle.contains(customer) { Duration::ZERO } else { self.throttle.mean_dial_time() }
     }
 
-    /// Takes a connection for a check; `None` if all are in use by statements, which tell as much.
+    /// Acquires a connection for a check; `None` if statements use all connections and `even_if_busy` isn't set.
     pub(crate) async fn acquire_for_check(
         self: &Rc<Self>,
         spec: &TargetSpec,
         even_if_busy: bool,
         deadline: Instant,
     ) -> Option<Result<Lease, NotRun>> {
-        if let Some(idle) = self.take_quiet(IdleConnections::take_oldest) {
+        if let Some(idle) = self.take_idle(IdleConnections::take_oldest) {
             return Some(Ok(self.lease(idle, true)));
         }
         if self.open.get() > 0 && !even_if_busy {
             return None;
         }
-        // Callers of this customer are the likeliest to come next and use it.
+        // This customer is the most likely to use the connection next.
         let customer = self.last_customer.borrow().clone();
-        let wait_until = (self.clock.now() + CHECK_WAITS).min(deadline);
-        while self.dials.get() >= MOST_DIALS && self.clock.now() < wait_until {
-            // Either way it is looked at again.
+        let wait_until = (self.clock.now() + CHECK_WAIT_TIMEOUT).min(deadline);
+        while self.dials.get() >= MAX_CONCURRENT_DIALS && self.clock.now() < wait_until {
+            // The loop condition is checked again in either case.
             let _ = within(&*self.clock, wait_until, self.freed.listen()).await;
         }
         Some(self.dial(spec, customer, deadline).await)
     }
 
-    /// Takes a connection of `customer`, one that holds `values` already if there is one.
+    /// Acquires a connection of `customer`, preferably one that has the session values `values`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the target can't be reached, or if no connection is available before `deadline`.
     pub(crate) async fn acquire(
         self: &Rc<Self>,
         spec: &TargetSpec,
@@ -169,29 +171,29 @@
         deadline: Instant,
     ) -> Result<Lease, NotRun> {
         self.last_customer.borrow_mut().clone_from(customer);
-        let mut may_come_back = self.in_use.borrow().contains_key(customer);
+        let mut may_be_returned = self.in_use.borrow().contains_key(customer);
         loop {
-            if let Some(idle) = self.take_quiet(|it| it.take(customer, values)) {
+            if let Some(idle) = self.take_idle(|it| it.take(customer, values)) {
                 return Ok(self.lease(idle, false));
             }
             let freed = self.freed.listen();
             let now = self.clock.now();
-            if std::mem::take(&mut may_come_back) {
-                let until = (now + RETURN_WITHIN).min(deadline);
-                // Either way the idle ones are looked at again.
+            if std::mem::take(&mut may_be_returned) {
+                let until = (now + RETURN_TIMEOUT).min(deadline);
+                // The idle connections are checked again in either case.
                 let _ = within(&*self.clock, until, freed).await;
                 continue;
             }
-            if self.dials.get() < MOST_DIALS && self.makes_room(now) {
+            if self.dials.get() < MAX_CONCURRENT_DIALS && self.make_room(now) {
                 match self.dial(spec, customer.clone(), deadline).await {
                     Ok(lease) => return Ok(lease),
-                    // Another connection of ours may come back before the target takes a new one.
+                    // A connection in use may be returned before the target accepts a new one.
                     Err(NotRun::Overloaded { .. }) => {}
                     Err(reason) => return Err(reason),
                 }
             } else {
-                let due = self.pace.due().filter(|it| *it > now);
-                let until = due.map_or(deadline, |it| it.min(deadline));
+                let next_dial_at = self.throttle.next_dial_at().filter(|it| *it > now);
+                let until = next_dial_at.map_or(deadline, |it| it.min(deadline));
                 let _ = within(&*self.clock, until, freed).await;
             }
             if self.clock.now() >= deadline {
@@ -200,43 +202,44 @@
         }
     }
 
-    /// Whether another connection may be opened now; closes those of other customers for it that are worth least.
+    /// Makes room for another connection, and returns whether one may be opened now.
     ///
-    /// A target that is full takes one in place of one that is closed.
-    fn makes_room(&self, now: Instant) -> bool {
-        while self.idle.len() >= self.kept_idle() {
-            if !self.close_for_another() {
+    /// Closes the longest idle connections if the idle limit or the connection limit is reached; a full target accepts
+    /// a new connection in place of a closed one.
+    fn make_room(&self, now: Instant) -> bool {
+        while self.idle.len() >= self.max_idle() {
+            if !self.evict_oldest_idle() {
                 break;
             }
         }
-        let most = self.pace.most(self.share.get() + BURST, now);
-        let is_due = self.pace.due().is_none_or(|it| now >= it);
-        (is_due && self.open.get() < most) || self.close_for_another()
+        let limit = self.throttle.connection_limit(self.share.get() + BURST_CONNECTIONS, now);
+        let is_due = self.throttle.next_dial_at().is_none_or(|it| now >= it);
+        (is_due && self.open.get() < limit) || self.evict_oldest_idle()
     }
 
-    fn close_for_another(&self) -> bool {
+    fn evict_oldest_idle(&self) -> bool {
         let Some(closed) = self.idle.take_oldest() else { return false };
         drop(closed);
-        self.note_closed(1);
+        self.record_closed(1);
         self.stats.connection("closed_for_another");
         true
     }
 
-    /// Sets whether this instance is to serve the target's callers for long; if not, others need the room.
-    pub(crate) fn set_long_term(&self, stays: bool) {
-        self.stays.set(stays);
+    /// Sets whether this instance is to serve the target's callers for long. If not, at most one connection stays idle.
+    pub(crate) fn set_long_term(&self, is_long_term: bool) {
+        self.is_long_term.set(is_long_term);
     }
 
-    /// How many connections may lie idle.
-    fn kept_idle(&self) -> usize {
-        if !self.stays.get() {
+    /// How many connections may stay idle.
+    fn max_idle(&self) -> usize {
+        if !self.is_long_term.get() {
             return 1;
         }
-        (self.share.get() * KEPT_PERCENT / 100).max(1) as usize
+        (self.share.get() * MAX_IDLE_PERCENT / 100).max(1) as usize
     }
 
-    /// Takes an idle connection by `take`; those that the target closed meanwhile are dropped.
-    fn take_quiet(
+    /// Takes an idle connection with `take`, and drops connections that the target closed meanwhile.
+    fn take_idle(
         &self,
         take: impl Fn(&IdleConnections) -> Option<IdleConnection>,
     ) -> Option<IdleConnection> {
@@ -245,22 +248,22 @@
             if idle.connection.is_quiet() {
                 return Some(idle);
             }
-            self.note_closed(1);
+            self.record_closed(1);
         }
     }
 
     fn lease(self: &Rc<Self>, idle: IdleConnection, is_check: bool) -> Lease {
-        self.note_in_use(&idle.customer);
+        self.record_in_use(&idle.customer);
         Lease {
             pool: Rc::clone(self),
             customer: idle.customer,
             connection: Some(idle.connection),
             idle_since: is_check.then_some(idle.since),
-            kept: false,
+            is_returned: false,
         }
     }
 
-    fn note_in_use(&self, customer: &Option<CustomerName>) {
+    fn record_in_use(&self, customer: &Option<CustomerName>) {
         *self.in_use.borrow_mut().entry(customer.clone()).or_default() += 1;
     }
 
@@ -271,23 +274,23 @@
         deadline: Instant,
     ) -> Result<Lease, NotRun> {
         self.open.set(self.open.get() + 1);
-        self.note_in_use(&customer);
+        self.record_in_use(&customer);
         self.dials.set(self.dials.get() + 1);
         let _dial = Dial { pool: self };
-        // Counts as open from here on, and no longer if this future is dropped.
+        // Counts the connection as open from here on; dropping this future drops the lease and undoes that.
         let mut lease = Lease {
             pool: Rc::clone(self),
             customer,
             connection: None,
             idle_since: None,
-            kept: false,
+            is_returned: false,
         };
-        let begun = self.clock.now();
-        let deadline = deadline.min(begun + OPEN_WITHIN);
+        let started = self.clock.now();
+        let deadline = deadline.min(started + OPEN_TIMEOUT);
         match self.dialer.open(spec, lease.customer.as_ref(), deadline).await {
             Ok(opened) => {
                 self.stats.connection("opened");
-                self.pace.opened(self.clock.now().saturating_duration_since(begun));
+                self.throttle.record_opened(self.clock.now().saturating_duration_since(started));
                 lease.connection = Some(PooledConnection::new(opened.link));
                 Ok(lease)
             }
@@ -296,7 +299,11 @@
                 log::debug!(member = spec.member.as_str(), reason = failure.text.as_str(); "G0704 a target refused a connection");
                 match failure.code {
                     FailureCode::TooManyConnections | FailureCode::Congested => {
-                        self.pace.refused(self.open.get() - 1, self.clock.now(), &*self.entropy);
+                        self.throttle.record_refusal(
+                            self.open.get() - 1,
+                            self.clock.now(),
+                            &*self.entropy,
+                        );
                         Err(NotRun::Overloaded { retry_after_ms: 50 })
                     }
                     _ => Err(NotRun::Unreachable),
@@ -311,12 +318,12 @@
 }
 
 impl Lease {
-    /// The connection itself.
+    /// The leased connection; `None` if it has not been opened.
     pub(crate) fn connection(&mut self) -> Option<&mut PooledConnection> {
         self.connection.as_mut()
     }
 
-    /// Gives the connection back for others; only when nothing is in flight or open on it.
+    /// Returns the connection to the pool. No answer may be outstanding on it, and no transaction open.
     pub(crate) fn return_to_pool(mut self) {
         if self.pool.closed.get() {
             return;
@@ -328,14 +335,14 @@
                 connection,
                 since,
             });
-            self.kept = true;
+            self.is_returned = true;
         }
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        if !self.kept {
+        if !self.is_returned {
             self.pool.open.set(self.pool.open.get() - 1);
         }
         let mut in_use = self.pool.in_use.borrow_mut();
@@ -345,7 +352,7 @@
                 in_use.remove(&self.customer);
             }
         }
-        // Whoever waits may want a connection of this customer, or room for one of its own.
+        // Wakes all waiters: they may need a connection of this customer, or room to open one.
         self.pool.freed.notify(usize::MAX);
     }
 }
--- a/crates/gullspar_direct/src/targets/dial_throttle.rs
+++ b/crates/gullspar_direct/src/targets/dial_throttle.rs
@@ -1,70 +1,72 @@
-//! When another connection to a target may be opened, and how long that takes.
+//! Limits how often and how many connections to a target are opened.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
 use gullspar_border::{Entropy, jittered};
 
-/// Pause after a target refused a connection; doubled with each further refusal.
-const REFUSED_PAUSE: Duration = Duration::from_millis(30);
+/// Delay after a target refused a connection; doubles with each further refusal.
+const REFUSAL_DELAY: Duration = Duration::from_millis(30);
 
-/// Refusals in a row after which the pause grows no more.
-const MOST_DOUBLINGS: u32 = 4;
+/// Consecutive refusals after which the delay no longer grows.
+const MAX_DELAY_DOUBLINGS: u32 = 4;
 
-/// After a refusal, one more connection than there was room for is tried this often.
-const ONE_MORE_EVERY: Duration = Duration::from_millis(300);
+/// After a refusal, the connection limit grows by one in each interval of this length.
+const LIMIT_INCREASE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What opening is taken to need before the first connection was opened.
-const UNKNOWN_DIAL: Duration = Duration::from_millis(15);
+/// Assumed time to open a connection until the first one was opened.
+const INITIAL_DIAL_ESTIMATE: Duration = Duration::from_millis(15);
 
-/// Weight of the newest dial in the running mean, as one part in this many.
-const MEAN_WEIGHT: u64 = 8;
+/// The newest sample's weight in the running mean is one divided by this.
+const MEAN_DIVISOR: u64 = 8;
 
-/// Paces the dials of one instance to one target.
+/// Throttles the connection attempts of one instance to one target.
 ///
-/// A target that is full refuses each of many instances. If all of them asked again at once, for each of their waiting
-/// statements, refusing would take the slots that the open connections need, and it would stay full of attempts.
+/// Refusing a connection takes a slot at the target. If all instances retried at once for each waiting statement, the
+/// refusals would use up the slots that the open connections need.
 #[derive(Default)]
 pub(crate) struct DialThrottle {
-    due: Cell<Option<Instant>>,
+    next_dial_at: Cell<Option<Instant>>,
     refusals: Cell<u32>,
-    usual_us: Cell<Option<u64>>,
-    /// Connections that there was room for when the target last refused one, and when that was.
-    room: Cell<Option<(u32, Instant)>>,
+    mean_us: Cell<Option<u64>>,
+    /// Connections that were open when the target last refused one, and the time of that refusal.
+    limit_at_refusal: Cell<Option<(u32, Instant)>>,
 }
 
 impl DialThrottle {
-    /// When the next dial is due; `None` for now.
-    pub(crate) fn due(&self) -> Option<Instant> {
-        self.due.get()
+    /// The earliest time of the next attempt; `None` if one may start now.
+    pub(crate) fn next_dial_at(&self) -> Option<Instant> {
+        self.next_dial_at.get()
     }
 
-    /// What opening a connection takes of late.
-    pub(crate) fn usual_dial(&self) -> Duration {
-        self.usual_us.get().map_or(UNKNOWN_DIAL, Duration::from_micros)
+    /// The recent mean time to open a connection.
+    pub(crate) fn mean_dial_time(&self) -> Duration {
+        self.mean_us.get().map_or(INITIAL_DIAL_ESTIMATE, Duration::from_micros)
     }
 
-    /// A connection was opened, which took this long.
-    pub(crate) fn opened(&self, took: Duration) {
+    /// Records that a connection was opened, and the time that it took.
+    pub(crate) fn record_opened(&self, took: Duration) {
         let sample = took.as_micros() as u64;
-        let usual = self.usual_us.get().unwrap_or(sample);
-        self.usual_us.set(Some((usual * (MEAN_WEIGHT - 1) + sample) / MEAN_WEIGHT));
+        let mean = self.mean_us.get().unwrap_or(sample);
+        self.mean_us.set(Some((mean * (MEAN_DIVISOR - 1) + sample) / MEAN_DIVISOR));
         self.refusals.set(0);
-        self.due.set(None);
+        self.next_dial_at.set(None);
     }
 
-    /// How many connections to have at most, of the `allowed` ones: as many as there was room for, and more by and by.
-    pub(crate) fn most(&self, allowed: u32, now: Instant) -> u32 {
-        let Some((room, at)) = self.room.get() else { return allowed };
-        let passed = now.saturating_duration_since(at).as_millis() / ONE_MORE_EVERY.as_millis();
-        allowed.min(room.saturating_add(passed as u32))
+    /// The current connection limit, at most `allowed`. After a refusal it starts at the number that was open then, and
+    /// grows over time.
+    pub(crate) fn connection_limit(&self, allowed: u32, now: Instant) -> u32 {
+        let Some((limit_at_refusal, at)) = self.limit_at_refusal.get() else { return allowed };
+        let passed =
+            now.saturating_duration_since(at).as_millis() / LIMIT_INCREASE_INTERVAL.as_millis();
+        allowed.min(limit_at_refusal.saturating_add(passed as u32))
     }
 
-    /// The target has no room beyond `open` connections of this instance.
-    pub(crate) fn refused(&self, open: u32, now: Instant, entropy: &dyn Entropy) {
-        self.room.set(Some((open.max(1), now)));
-        let doublings = self.refusals.get().min(MOST_DOUBLINGS);
+    /// Records that the target refused a connection while `open` connections of this instance were open.
+    pub(crate) fn record_refusal(&self, open: u32, now: Instant, entropy: &dyn Entropy) {
+        self.limit_at_refusal.set(Some((open.max(1), now)));
+        let doublings = self.refusals.get().min(MAX_DELAY_DOUBLINGS);
         self.refusals.set(self.refusals.get().saturating_add(1));
-        self.due.set(Some(now + jittered(entropy, REFUSED_PAUSE * 2u32.pow(doublings))));
+        self.next_dial_at.set(Some(now + jittered(entropy, REFUSAL_DELAY * 2u32.pow(doublings))));
     }
 }
--- a/crates/gullspar_direct/src/targets/idle_connections.rs
+++ b/crates/gullspar_direct/src/targets/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to one target that nobody uses at the moment.
+//! Idle connections to one target.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,17 +9,17 @@
 
 use crate::targets::pooled_connection::PooledConnection;
 
-/// How long a connection may lie idle if another one of its customer does as well, or if many do.
-const SURPLUS_IDLE: Duration = Duration::from_millis(800);
+/// Idle time after which a connection may be closed as surplus.
+const SURPLUS_IDLE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A connection that waits for the next statement of its customer.
+/// A connection that is not in use, kept for statements of its customer.
 pub(crate) struct IdleConnection {
     pub(crate) customer: Option<CustomerName>,
     pub(crate) connection: PooledConnection,
     pub(crate) since: Instant,
 }
 
-/// IdleConnection connections, those that have waited longest first.
+/// Idle connections, the longest idle first.
 #[derive(Default)]
 pub(crate) struct IdleConnections {
     list: RefCell<Vec<IdleConnection>>,
@@ -32,7 +32,7 @@
         list.insert(at, idle);
     }
 
-    /// Takes a connection of `customer`, one that holds `values` if there is one.
+    /// Takes a connection of `customer`, preferably one that has the session values `values`.
     pub(crate) fn take(
         &self,
         customer: &Option<CustomerName>,
@@ -45,18 +45,18 @@
         Some(list.remove(at))
     }
 
-    /// Takes the connection that has waited longest.
+    /// Takes the connection that has been idle longest.
     pub(crate) fn take_oldest(&self) -> Option<IdleConnection> {
         let mut list = self.list.borrow_mut();
         (!list.is_empty()).then(|| list.remove(0))
     }
 
     /// Whether there is a connection of `customer`.
-    pub(crate) fn has(&self, customer: &CustomerName) -> bool {
+    pub(crate) fn contains(&self, customer: &CustomerName) -> bool {
         self.list.borrow().iter().any(|it| it.customer.as_ref() == Some(customer))
     }
 
-    /// Closes all; tells how many.
+    /// Closes all connections and returns how many there were.
     pub(crate) fn clear(&self) -> u32 {
         std::mem::take(&mut *self.list.borrow_mut()).len() as u32
     }
@@ -65,23 +65,23 @@
         self.list.borrow().len()
     }
 
-    /// Closes those that waited for long and whose customer has another one, or that are more than `kept`; tells how
-    /// many.
+    /// Closes connections that have been idle for [`SURPLUS_IDLE_TIMEOUT`] and whose customer has a newer one, or that
+    /// exceed `kept` in number. Returns how many were closed.
     pub(crate) fn close_surplus(&self, kept: usize, now: Instant) -> u32 {
         let mut list = self.list.borrow_mut();
         let before = list.len();
-        let mut beyond = before.saturating_sub(kept);
+        let mut excess = before.saturating_sub(kept);
         let mut seen = BTreeSet::new();
-        // From the newest on, so that of a customer's connections the newest stays.
-        let second: Vec<bool> =
+        // Scans from the newest on, so that the newest connection of each customer is kept.
+        let duplicates: Vec<bool> =
             list.iter().rev().map(|it| !seen.insert(it.customer.clone())).collect();
-        let mut second = second.into_iter().rev();
+        let mut duplicates = duplicates.into_iter().rev();
         list.retain(|it| {
-            let is_second = second.next().unwrap_or(false);
-            let is_old = now >= it.since + SURPLUS_IDLE;
-            let is_dropped = is_old && (is_second || beyond > 0);
-            beyond -= usize::from(is_dropped && beyond > 0);
-            !is_dropped
+            let is_duplicate = duplicates.next().unwrap_or(false);
+            let is_old = now >= it.since + SURPLUS_IDLE_TIMEOUT;
+            let is_closed = is_old && (is_duplicate || excess > 0);
+            excess -= usize::from(is_closed && excess > 0);
+            !is_closed
         });
         (before - list.len()) as u32
     }
--- a/crates/gullspar_direct/src/targets/mod.rs
+++ b/crates/gullspar_direct/src/targets/mod.rs
@@ -1,4 +1,4 @@
-//! Targets as this instance uses them: connections, places, checks, single attempts.
+//! Access to targets from this instance: connections, permits, health checks and single attempts of statements.
 
 pub(crate) mod admission_limit;
 pub(crate) mod attempt;
--- a/crates/gullspar_direct/src/targets/pacing.rs
+++ b/crates/gullspar_direct/src/targets/pacing.rs
@@ -1,55 +1,57 @@
-//! What part of a target's slots one instance uses, and how it keeps to a part of one.
+//! The share of a target's slots that one instance uses, and the cooldown that enforces a share below one slot.
 //!
-//! With more instances than slots, the fair part of each is less than one statement at a time. Each runs one all
-//! the same, so that an instance with few callers need not wait; but when all have many, nine statements stand
-//! before three slots, in the target's own queue, which knows no priority and no deadline. There each statement of a
-//! transaction waits two rounds.
+//! With more instances than slots, the fair share of each is less than one statement at a time. Each instance may
+//! still run one, so that an instance with few callers need not wait. If all instances have many callers, however, the
+//! surplus waits in the target's own queue, which knows neither priorities nor deadlines.
 //!
-//! So while a target is crowded, which its answers show, a place rests after each statement for as long as the part
-//! asks; requests then wait in the instance, where the urgent go first.
+//! While a target is congested, which its response times show, a permit is therefore held back for a cooldown after
+//! each statement. Requests then wait in the instance, which orders them by priority.
 
 use std::time::Duration;
 
 use crate::targets::admission_limit;
 
-/// A target is crowded while its statements take this many percent of what they take on the fastest of its group.
+/// A target counts as congested once its mean statement time reaches this percentage of the fastest target's in the
+/// group.
 ///
-/// Without a queue they differ by up to a half with the kinds of statements that each gets.
-const CROWDED_PERCENT: u128 = 200;
+/// Leaves room for differences of up to a half that come from the mix of statements on each target.
+const CONGESTED_PERCENT: u128 = 200;
 
-/// The longest rest after a statement, as a multiple of what it took.
-const MOST_REST: u32 = 3;
+/// Maximum cooldown after a statement, as a multiple of the time that the statement took.
+const MAX_COOLDOWN_FACTOR: u32 = 3;
 
-/// The part of a target that one instance uses.
+/// The share of a target's slots that one instance uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// Statements at a time, in percent of one.
+    /// Concurrent statements, in percent of one statement.
     percent: u32,
     slots: u32,
 }
 
 impl Default for Share {
-    /// One whole statement at a time.
+    /// One statement at a time.
     fn default() -> Share {
         Share { percent: 100, slots: 1 }
     }
 }
 
 impl Share {
-    /// The part of a target with `slots` slots for each of `instances`.
+    /// The share of each of `instances` in a target with `slots` slots.
     pub fn of(slots: u32, instances: usize) -> Share {
         let percent = admission_limit::statement_percent(slots, instances);
         Share { percent, slots: slots.max(1) }
     }
 
-    /// Statements at a time, one at least.
+    /// Statements that may run at once; at least one.
     pub fn permits(self) -> u32 {
         self.percent.div_ceil(100).clamp(1, self.slots)
     }
 }
 
-/// How long a place rests after a statement that took `taken`, where statements of late took `mean` here and `usual`
-/// on the fastest target of the group.
+/// The cooldown of a permit after a statement that took `taken`.
+///
+/// `mean` is the recent mean statement time on this target, `usual` that on the fastest target of the group. Zero
+/// unless the target is congested and the share is less than one statement.
 pub fn cooldown_after(
     share: Share,
     taken: Duration,
@@ -57,12 +59,12 @@
     usual: Option<Duration>,
 ) -> Duration {
     let (Some(mean), Some(usual)) = (mean, usual) else { return Duration::ZERO };
-    let crowded = mean.as_micros() * 100 >= usual.as_micros() * CROWDED_PERCENT;
-    let part = share.percent.max(1);
-    if !crowded || part >= 100 {
+    let is_congested = mean.as_micros() * 100 >= usual.as_micros() * CONGESTED_PERCENT;
+    let percent = share.percent.max(1);
+    if !is_congested || percent >= 100 {
         return Duration::ZERO;
     }
-    // After a burst all would rest for as long as it took, and slots would idle.
-    let taken = taken.min(usual * CROWDED_PERCENT as u32 / 100);
-    (taken * (100 - part) / part).min(taken * MOST_REST)
+    // After a burst, statements took long; cooldowns as long as those would leave slots idle.
+    let taken = taken.min(usual * CONGESTED_PERCENT as u32 / 100);
+    (taken * (100 - percent) / percent).min(taken * MAX_COOLDOWN_FACTOR)
 }
--- a/crates/gullspar_direct/src/targets/pooled_connection.rs
+++ b/crates/gullspar_direct/src/targets/pooled_connection.rs
@@ -1,17 +1,16 @@
-//! One connection to a target and what it holds of sessions.
+//! A connection to a target, with the session values and prepared statements on it.
 
 use std::collections::BTreeMap;
 
 use arcstr::ArcStr;
 use gullspar_statement::{Answer, Definition, TargetCommand, TargetLink, TargetLinkError};
 
-/// Prepared statements that a connection keeps before it is reset.
+/// Prepared statements on a connection before it is reset.
 ///
-/// Shapes come from callers, so that their number is not ours to know; without a bound a target
-/// would hold more for each connection the longer it lives.
-const PREPARED_LIMIT: usize = 256;
+/// Callers choose the statements, so their number has no bound of its own, and the target keeps each until a reset.
+const MAX_PREPARED: usize = 256;
 
-/// A connection that several sessions use in turn.
+/// A connection that sessions use one after the other.
 pub(crate) struct PooledConnection {
     link: Box<dyn TargetLink>,
     values: BTreeMap<ArcStr, ArcStr>,
@@ -23,7 +22,7 @@
         PooledConnection { link, values: BTreeMap::new(), prepared: BTreeMap::new() }
     }
 
-    /// Whether the session values on it are exactly `values`.
+    /// Whether the session values on the connection are exactly `values`.
     pub(crate) fn has_values(&self, values: &BTreeMap<ArcStr, ArcStr>) -> bool {
         self.values == *values
     }
@@ -32,16 +31,17 @@
         self.link.is_quiet()
     }
 
-    /// The commands that give the connection exactly `values` and the prepared statement `wanted`;
-    /// they go in the same write as the statement that needs them and cost no round trip.
+    /// The commands that set the connection's session values to exactly `values` and prepare `wanted`.
+    ///
+    /// They are sent together with the statement that needs them, so they cost no extra round trip.
     pub(crate) fn setup_commands(
         &mut self,
         values: &BTreeMap<ArcStr, ArcStr>,
         wanted: Option<&Definition>,
     ) -> Vec<TargetCommand> {
         let mut commands = Vec::new();
-        let foreign = self.values.keys().any(|it| !values.contains_key(it));
-        if foreign || self.prepared.len() >= PREPARED_LIMIT {
+        let has_foreign = self.values.keys().any(|it| !values.contains_key(it));
+        if has_foreign || self.prepared.len() >= MAX_PREPARED {
             commands.push(TargetCommand::Reset);
             self.values.clear();
             self.prepared.clear();
@@ -62,12 +62,12 @@
         commands
     }
 
-    /// The name that `definition` has on this connection.
+    /// The name of the prepared statement `definition` on this connection.
     pub(crate) fn prepared_name(&self, definition: &Definition) -> Option<ArcStr> {
         self.prepared.get(definition).cloned()
     }
 
-    /// Sends commands and collects their answers.
+    /// Sends commands and returns their answers, in order.
     pub(crate) async fn exchange(
         &mut self,
         commands: Vec<TargetCommand>,
--- a/crates/gullspar_direct/src/targets/target.rs
+++ b/crates/gullspar_direct/src/targets/target.rs
@@ -1,4 +1,4 @@
-//! One target as this instance knows it.
+//! A target with its connections, its load and its recent health, as seen by this instance.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,65 +14,67 @@
 use crate::targets::pacing;
 use crate::{Borders, Stats};
 
-/// Checks in a row without an answer after which a target counts as dark.
+/// Consecutive missed health checks after which a target counts as unresponsive.
 ///
-/// One may be lost with its connection; two on different connections hardly are.
-const DARK_AFTER: u32 = 2;
+/// A single check may be lost with its connection; the next one uses another connection.
+const UNRESPONSIVE_AFTER_MISSES: u32 = 2;
 
-/// How long a target that failed a statement is passed over while others can serve.
-const AVOID_FOR: Duration = Duration::from_millis(300);
+/// How long a target is avoided after a failure while others can serve.
+const AVOID_PERIOD: Duration = Duration::from_millis(300);
 
-/// What a failed statement counts against a target, and a sound one for it: a target that fails a fifth or more of
-/// what it is asked is passed over by and by.
+/// How much a failed statement adds to a target's failure score, and how much a successful one subtracts.
+///
+/// With these weights, a target that fails a fifth or more of its statements is eventually avoided.
 const FAILURE_WEIGHT: u32 = 4;
 const SUCCESS_WEIGHT: u32 = 1;
 
-/// From here on a target is passed over: two failures in a row.
-const PASSED_OVER_FROM: u32 = 2 * FAILURE_WEIGHT;
+/// Failure score from which a target is avoided: two failures in a row.
+const AVOID_SCORE: u32 = 2 * FAILURE_WEIGHT;
 
-/// The most that counts: four doublings of [`AVOID_FOR`], so that a target that is well again is found in seconds.
-const MOST_FAILURES: u32 = PASSED_OVER_FROM + 4 * FAILURE_WEIGHT;
+/// Upper bound of the failure score. It allows four doublings of [`AVOID_PERIOD`], so that a target that has recovered
+/// is used again within seconds.
+const MAX_FAILURE_SCORE: u32 = AVOID_SCORE + 4 * FAILURE_WEIGHT;
 
-/// How long a replica that was behind a point is not asked for that point again.
-const BEHIND_FOR: Duration = Duration::from_millis(60);
+/// How long a replica that was behind a point isn't asked for that point again.
+const BEHIND_PERIOD: Duration = Duration::from_millis(60);
 
-/// Weight of the newest sample in the running mean, as one part in this many.
-const MEAN_WEIGHT: u64 = 8;
+/// The newest sample's weight in the running mean is one divided by this.
+const MEAN_DIVISOR: u64 = 8;
 
-/// Time in which half of what was learnt beyond that is forgotten: a replica that was taken to be very
-/// slow is asked again within a few seconds.
-const SLOWNESS_HALVES_EVERY: Duration = Duration::from_millis(500);
+/// Half-life of the part of a target's mean that exceeds the group's usual mean, so that a replica that was very slow
+/// is tried again within a few seconds.
+const EXCESS_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Halvings after which nothing is left.
-const MOST_HALVINGS: u128 = 30;
+/// Maximum halvings of that excess; keeps the power of two within its integer type.
+const MAX_HALVINGS: u128 = 30;
 
-/// A target, its connections and what was seen of it lately.
+/// A target of a group, with the connections, permits and recent measurements of this instance.
 pub(crate) struct Target {
     spec: RefCell<Rc<TargetSpec>>,
     pub(crate) pool: Rc<ConnectionPool>,
     pub(crate) admission: Rc<Admission>,
     point: Cell<Option<LogPoint>>,
-    misses: Cell<u32>,
-    heard: Cell<Option<BootInstant>>,
+    missed_checks: Cell<u32>,
+    last_response_at: Cell<Option<BootInstant>>,
     in_flight: Cell<u32>,
     share: Cell<pacing::Share>,
-    /// Running mean of what statements took, and when it was last learnt; `None` until one was answered.
+    /// Running mean of statement durations, in microseconds; `None` until a statement was answered.
     mean_us: Cell<Option<u64>>,
-    learnt_at: Cell<Instant>,
+    mean_updated_at: Cell<Instant>,
     avoid_until: Cell<Option<Instant>>,
-    /// What statements that failed here count, less those that did not.
-    failures: Cell<u32>,
+    /// Failure score: rises with each failed statement and falls with each successful one.
+    failure_score: Cell<u32>,
     behind: Cell<Option<(LogPoint, Instant)>>,
-    /// When it gets no new work any more, as it leaves.
+    /// When this target, which is leaving, stops getting new work.
     work_ends_at: Cell<Option<BootInstant>>,
     pub(crate) removed: Cell<bool>,
-    /// A write waits for this replica and has it asked.
+    /// Whether a check is running on behalf of a write that waits for this replica.
     pub(crate) is_polled: Cell<bool>,
     clock: Rc<dyn Clock>,
     stats: Rc<Stats>,
 }
 
-/// Counts a statement as in flight while it lives.
+/// Counts a statement as in flight until it is dropped.
 pub(crate) struct InFlight {
     target: Rc<Target>,
 }
@@ -86,14 +88,14 @@
             pool,
             admission,
             point: Cell::new(None),
-            misses: Cell::new(0),
-            heard: Cell::new(None),
+            missed_checks: Cell::new(0),
+            last_response_at: Cell::new(None),
             in_flight: Cell::new(0),
             share: Cell::new(pacing::Share::default()),
             mean_us: Cell::new(None),
-            learnt_at: Cell::new(borders.clock.now()),
+            mean_updated_at: Cell::new(borders.clock.now()),
             avoid_until: Cell::new(None),
-            failures: Cell::new(0),
+            failure_score: Cell::new(0),
             behind: Cell::new(None),
             work_ends_at: Cell::new(None),
             removed: Cell::new(false),
@@ -103,24 +105,28 @@
         })
     }
 
-    /// Waits for the right to run `req` here.
+    /// Waits for a permit to run `req` on this target.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no permit is granted in time, or if the target has stopped taking new work meanwhile.
     pub(crate) async fn admit(&self, req: &Request) -> Result<Permit, NotRun> {
-        let asked = self.clock.now();
+        let requested_at = self.clock.now();
         let permit = self.admission.enter_by(req.priority, req.objective, req.deadline).await?;
-        self.stats.place(self.clock.now().saturating_duration_since(asked));
-        // It may have waited for long.
+        self.stats.place(self.clock.now().saturating_duration_since(requested_at));
+        // The wait may have lasted until after the target closed.
         if self.is_closed_to_new_work() { Err(NotRun::NoPrimary) } else { Ok(permit) }
     }
 
-    /// Sets when it gets no new work any more, as it leaves.
+    /// Sets when the target, which is leaving, stops getting new work; `None` if it isn't leaving.
     pub(crate) fn set_work_ends_at(&self, at: Option<BootInstant>) {
         self.work_ends_at.set(at);
     }
 
-    /// Whether it said so long ago that it leaves that it gets no new work any more.
+    /// Whether the target has been leaving for so long that it gets no new work.
     ///
-    /// A leader that leaves serves until it is replaced. Where nobody can take its place it would be given work
-    /// until it ends, and what it then runs is cut off; callers are refused instead, as not run.
+    /// A leader that leaves serves until it is replaced. Without a replacement it would get work until it stops, and
+    /// statements running then would be lost. Refused ones are reported as not run.
     pub(crate) fn is_closed_to_new_work(&self) -> bool {
         self.work_ends_at.get().is_some_and(|at| at <= self.clock.boot_now())
     }
@@ -137,7 +143,7 @@
         self.spec.borrow().member.clone()
     }
 
-    /// The end of its log when it last told.
+    /// The end of the target's log, as last reported.
     pub(crate) fn point(&self) -> Option<LogPoint> {
         self.point.get()
     }
@@ -148,62 +154,61 @@
         }
     }
 
-    /// It answered a check.
+    /// Records that the target answered a check or a statement.
     pub(crate) fn record_response(&self, now: BootInstant) {
-        self.misses.set(0);
-        self.heard.set(Some(now));
+        self.missed_checks.set(0);
+        self.last_response_at.set(Some(now));
     }
 
-    /// It did not answer a check; `true` when this makes it dark.
+    /// Records a missed check. Returns `true` if the target becomes unresponsive by it.
     pub(crate) fn record_missed_check(&self) -> bool {
-        self.misses.set(self.misses.get().saturating_add(1));
-        self.misses.get() == DARK_AFTER
+        self.missed_checks.set(self.missed_checks.get().saturating_add(1));
+        self.missed_checks.get() == UNRESPONSIVE_AFTER_MISSES
     }
 
     pub(crate) fn has_missed_checks(&self) -> bool {
-        self.misses.get() > 0
+        self.missed_checks.get() > 0
     }
 
-    /// Whether it answers nothing.
+    /// Whether the target missed its last checks.
     pub(crate) fn is_unresponsive(&self) -> bool {
-        self.misses.get() >= DARK_AFTER
+        self.missed_checks.get() >= UNRESPONSIVE_AFTER_MISSES
     }
 
-    /// Whether it answered anything since `instant`.
+    /// Whether the target answered anything since `instant`.
     pub(crate) fn has_responded_since(&self, instant: BootInstant) -> bool {
-        self.heard.get().is_some_and(|at| at >= instant)
+        self.last_response_at.get().is_some_and(|at| at >= instant)
     }
 
-    /// Whether it ever answered a check.
+    /// Whether the target ever answered anything.
     pub(crate) fn has_responded(&self) -> bool {
-        self.heard.get().is_some()
+        self.last_response_at.get().is_some()
     }
 
-    /// A statement on it failed in a way that another may not.
+    /// Avoids the target for a short time, after a failure that another target may not have.
     pub(crate) fn avoid(&self, now: Instant) {
-        self.avoid_for(now, AVOID_FOR);
+        self.avoid_for(now, AVOID_PERIOD);
     }
 
     fn avoid_for(&self, now: Instant, time: Duration) {
         self.avoid_until.set(self.avoid_until.get().max(Some(now + time)));
     }
 
-    /// It ran a statement, and the statement failed or did not.
+    /// Records whether a statement on the target failed.
     ///
-    /// A target may fail what it is asked, or half of it, and answer each check. Asked for every other read all the
-    /// same, one such replica would fail hundreds of statements. One failure may be the
-    /// statement's own fault; where they prevail the target is passed over, twice as long each time, and the reads
-    /// that try it again show when it is well.
+    /// A target may answer each check and still fail many statements. A single failure may be caused by the statement
+    /// itself; from [`AVOID_SCORE`] on the target is avoided, twice as long after each further failure. Reads that try
+    /// it again show when it has recovered.
     pub(crate) fn record_result(&self, failed: bool, now: Instant) {
         if !failed {
-            self.failures.set(self.failures.get().saturating_sub(SUCCESS_WEIGHT));
+            self.failure_score.set(self.failure_score.get().saturating_sub(SUCCESS_WEIGHT));
             return;
         }
-        let failures = (self.failures.get() + FAILURE_WEIGHT).min(MOST_FAILURES);
-        self.failures.set(failures);
-        if let Some(beyond) = failures.checked_sub(PASSED_OVER_FROM) {
-            let avoid_for = AVOID_FOR * 2u32.pow(beyond / FAILURE_WEIGHT);
-            self.avoid_for(now, avoid_for);
+        let failure_score = (self.failure_score.get() + FAILURE_WEIGHT).min(MAX_FAILURE_SCORE);
+        self.failure_score.set(failure_score);
+        if let Some(excess) = failure_score.checked_sub(AVOID_SCORE) {
+            let avoid_period = AVOID_PERIOD * 2u32.pow(excess / FAILURE_WEIGHT);
+            self.avoid_for(now, avoid_period);
         }
     }
 
@@ -211,23 +216,23 @@
         self.avoid_until.get().is_some_and(|until| now < until)
     }
 
-    /// It said that its log does not reach `point`.
+    /// Records that the replica reported its log to be behind `point`.
     pub(crate) fn record_behind(&self, point: LogPoint, now: Instant) {
-        self.behind.set(Some((point, now + BEHIND_FOR)));
+        self.behind.set(Some((point, now + BEHIND_PERIOD)));
     }
 
     pub(crate) fn is_behind(&self, point: LogPoint, now: Instant) -> bool {
         self.behind.get().is_some_and(|(missing, until)| point >= missing && now < until)
     }
 
-    /// Gives a place back after a statement that took `taken`, at once or, while the target is crowded, after
-    /// a rest.
+    /// Releases a permit after a statement that took `taken`: at once, or after a cooldown while the target is
+    /// congested. `usual` is the mean statement time on the fastest target of the group.
     pub(crate) fn release_permit(&self, permit: Permit, taken: Duration, usual: Option<Duration>) {
-        let rest = pacing::cooldown_after(self.share.get(), taken, self.mean_duration(), usual);
-        if rest.is_zero() {
+        let cooldown = pacing::cooldown_after(self.share.get(), taken, self.mean_duration(), usual);
+        if cooldown.is_zero() {
             return;
         }
-        let until = self.clock.now() + rest;
+        let until = self.clock.now() + cooldown;
         let clock = Rc::clone(&self.clock);
         let task = async move {
             clock.sleep_until(until).await;
@@ -236,54 +241,52 @@
         compio::runtime::spawn(task).detach();
     }
 
-    /// Sets what part of the target this instance uses.
+    /// Sets the share of the target's slots that this instance uses.
     pub(crate) fn set_share(&self, share: pacing::Share) {
         self.share.set(share);
         self.admission.set_capacity(share.permits());
     }
 
-    /// A statement begins; it ends when the guard is dropped.
+    /// Counts a statement as in flight until the guard is dropped.
     pub(crate) fn start_statement(self: &Rc<Self>) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlight { target: Rc::clone(self) }
     }
 
-    /// A statement took this long.
+    /// Adds the duration of a statement to the running mean.
     pub(crate) fn record_duration(&self, took: Duration) {
         let sample = took.as_micros() as u64;
         let mean = self.mean_us.get().unwrap_or(sample);
-        self.mean_us.set(Some((mean * (MEAN_WEIGHT - 1) + sample) / MEAN_WEIGHT));
-        self.learnt_at.set(self.clock.now());
+        self.mean_us.set(Some((mean * (MEAN_DIVISOR - 1) + sample) / MEAN_DIVISOR));
+        self.mean_updated_at.set(self.clock.now());
     }
 
-    /// What a statement took here of late; `None` before the first.
+    /// The recent mean duration of statements; `None` before the first.
     pub(crate) fn mean_duration(&self) -> Option<Duration> {
         self.mean_us.get().map(Duration::from_micros)
     }
 
-    /// What a statement takes here, where others of the group need `usual`.
+    /// The mean duration of statements, decayed towards `usual`, the mean on the fastest target of the group.
     ///
-    /// What was learnt beyond that is forgotten by and by: a target that nobody asks any more has no way
-    /// to show that it is fast again. Its group's leader would refuse callers that it could serve.
+    /// The excess over `usual` decays with time, since a target that gets no statements can't show that it is fast
+    /// again.
     fn decayed_mean(&self, usual: Duration) -> Duration {
-        // One that has just started is taken to be like the others; it gets work and shows what it takes.
+        // Without samples, assume the usual mean, so that a new target gets work and yields samples.
         let mean = self.mean_duration().unwrap_or(usual);
-        let passed = self.clock.now().saturating_duration_since(self.learnt_at.get());
-        let halvings = passed.as_millis() / SLOWNESS_HALVES_EVERY.as_millis();
-        let beyond = mean.saturating_sub(usual);
-        mean.min(usual) + beyond / 2u32.pow(halvings.min(MOST_HALVINGS) as u32)
+        let passed = self.clock.now().saturating_duration_since(self.mean_updated_at.get());
+        let halvings = passed.as_millis() / EXCESS_HALF_LIFE.as_millis();
+        let excess = mean.saturating_sub(usual);
+        mean.min(usual) + excess / 2u32.pow(halvings.min(MAX_HALVINGS) as u32)
     }
 
-    /// What one more statement will probably take, those on their way and those that wait for a place
-    /// included.
+    /// The expected duration of one more statement, including its wait for statements in flight and in the queue.
     ///
-    /// Without the latter a burst goes to one target as long as none of it has been sent, and a leader with
-    /// sixty reads before it looks idle.
+    /// Queued statements count too; otherwise a whole burst would go to one target before its first statement is sent.
     pub(crate) fn expected_duration(&self, usual: Duration) -> Duration {
-        let before = self.in_flight.get() + self.admission.queued() as u32;
-        let places = self.admission.capacity();
+        let pending = self.in_flight.get() + self.admission.queued() as u32;
+        let permits = self.admission.capacity();
         let mean = self.decayed_mean(usual);
-        mean * (before / places + 1) + mean * before / places / 4
+        mean * (pending / permits + 1) + mean * pending / permits / 4
     }
 }
 
--- a/crates/gullspar_direct/src/targets/target_watch.rs
+++ b/crates/gullspar_direct/src/targets/target_watch.rs
@@ -1,4 +1,4 @@
-//! Watching one target: whether it answers, whether it leads, and where its log ends.
+//! Health checks of a target: whether it answers, whether it leads, and where its log ends.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,38 +11,38 @@
 use crate::groups::group::Group;
 use crate::targets::target::Target;
 
-/// Between two checks of a leader; sets how soon a failure shows and how old readings get.
-const LEADER_EVERY: Duration = Duration::from_millis(150);
+/// Between two checks of a leader; bounds the time to detect a failure and the age of position samples.
+const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Between two checks of a replica.
-const REPLICA_EVERY: Duration = Duration::from_millis(400);
+const REPLICA_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Between two checks while the group has no leader or the target just missed one.
-const TROUBLED_EVERY: Duration = Duration::from_millis(40);
+/// Between two checks while the group has no leader or the target missed its last check.
+const FAILING_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long a target may take to answer a check; it answers in 0.5 to 2 ms without taking a slot.
-const ANSWER_WITHIN: Duration = Duration::from_millis(200);
+/// How long a target may take to answer a check; answering needs no slot.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How long opening the connection for checks may take; it queues for a slot behind statements.
-const OPEN_WITHIN: Duration = Duration::from_millis(300);
+/// How long opening a connection for a check may take; it waits for a slot behind statements.
+const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Silence after which a target is checked on a connection of its own although statements use all others.
+/// Time without an answer after which a check opens a connection of its own if statements use all others.
 const OVERDUE_AFTER: Duration = Duration::from_millis(250);
 
-/// Pause after a target refused the connection because it has too many.
-const FULL_PAUSE: Duration = Duration::from_millis(200);
+/// Delay of the next check after a target refused a connection because it has too many.
+const FULL_CHECK_DELAY: Duration = Duration::from_millis(200);
 
-/// What one check brought.
+/// Result of one check.
 pub(crate) enum CheckResult {
     Answered,
     Missed,
-    /// Statements use all connections, and were answered lately.
+    /// The check was skipped: statements use all connections, and the target answered recently.
     InUse,
-    /// It answers, but takes no connection now.
+    /// The target answers, but accepts no more connections at present.
     Full,
 }
 
-/// Watches `target` until it is removed from its group.
+/// Checks `target` at intervals until it is removed from its group.
 pub(crate) async fn watch(borders: Borders, group: Rc<Group>, target: Rc<Target>) {
     while !target.removed.get() {
         let check = check(&borders, &group, &target).await;
@@ -51,15 +51,15 @@
                 if target.is_unresponsive() {
                     log::info!(member = target.member().as_str(); "G0708 a target answers again");
                 }
-                let was_troubled = target.has_missed_checks();
+                let had_missed_checks = target.has_missed_checks();
                 target.record_response(borders.clock.boot_now());
-                if was_troubled {
+                if had_missed_checks {
                     group.notify();
                 }
             }
             CheckResult::Missed => {
                 if target.record_missed_check() {
-                    log::warn!(member = target.member().as_str(); "G0709 a target does not answer");
+                    log::warn!(member = target.member().as_str(); "G0709 a target became unresponsive");
                     borders.stats.target_dark();
                     target.pool.close_idle();
                     group.note_dark(borders.clock.boot_now());
@@ -70,40 +70,45 @@
         }
         target.pool.close_surplus();
         let woken = group.listen_check();
-        let until = borders.clock.now() + pause(&group, &target, &check);
-        // Whichever comes first, the next check follows.
+        let until = borders.clock.now() + check_interval(&group, &target, &check);
+        // Runs the next check after the interval, or when the group requests one.
         let _ = within(&*borders.clock, until, woken).await;
     }
 }
 
-fn pause(group: &Group, target: &Target, check: &CheckResult) -> Duration {
+fn check_interval(group: &Group, target: &Target, check: &CheckResult) -> Duration {
     if matches!(check, CheckResult::Full) {
-        FULL_PAUSE
+        FULL_CHECK_DELAY
     } else if group.working_leader().is_none() || target.has_missed_checks() {
-        TROUBLED_EVERY
+        FAILING_CHECK_INTERVAL
     } else if group.is_leader(&target.member()) {
-        LEADER_EVERY
+        LEADER_CHECK_INTERVAL
     } else {
-        REPLICA_EVERY
+        REPLICA_CHECK_INTERVAL
     }
 }
 
-/// Asks the target once whether it leads and where its log ends, unless statements in use tell as much.
+/// Checks the target once, unless statements use all connections and the target answered recently.
 pub(crate) async fn check(borders: &Borders, group: &Group, target: &Target) -> CheckResult {
     let overdue = !target.has_responded_since(borders.clock.boot_now().minus(OVERDUE_AFTER));
-    ask(borders, group, target, overdue).await
+    run_check(borders, group, target, overdue).await
 }
 
-/// Whether the target says now that it leads.
+/// Checks whether the target is the leader at this moment.
 pub(crate) async fn is_leader_now(borders: &Borders, group: &Group, target: &Target) -> bool {
-    let answered = matches!(ask(borders, group, target, true).await, CheckResult::Answered);
+    let answered = matches!(run_check(borders, group, target, true).await, CheckResult::Answered);
     answered && group.is_leader(&target.member())
 }
 
-async fn ask(borders: &Borders, group: &Group, target: &Target, even_if_busy: bool) -> CheckResult {
+async fn run_check(
+    borders: &Borders,
+    group: &Group,
+    target: &Target,
+    even_if_busy: bool,
+) -> CheckResult {
     let clock = &borders.clock;
     let spec = target.spec();
-    let deadline = clock.now() + OPEN_WITHIN;
+    let deadline = clock.now() + OPEN_TIMEOUT;
     let mut lease = match target.pool.acquire_for_check(&spec, even_if_busy, deadline).await {
         None => return CheckResult::InUse,
         Some(Ok(lease)) => lease,
@@ -111,8 +116,8 @@
         Some(Err(_)) => return CheckResult::Missed,
     };
     let Some(connection) = lease.connection() else { return CheckResult::Missed };
-    let begun = clock.boot_now();
-    let deadline = clock.now() + ANSWER_WITHIN;
+    let requested_at = clock.boot_now();
+    let deadline = clock.now() + ANSWER_TIMEOUT;
     // Only a member that leads at this moment opens a plain transaction.
     let commands = vec![TargetCommand::Begin, TargetCommand::RollBack];
     let Ok(Ok(answers)) = within(&**clock, deadline, connection.exchange(commands)).await else {
@@ -121,7 +126,7 @@
     let Some(first) = answers.first() else { return CheckResult::Missed };
     target.record_point(first.point);
     match (&first.result, first.point) {
-        (Ok(_), Some(point)) => group.leads(&spec.member, point, begun),
+        (Ok(_), Some(point)) => group.leads(&spec.member, point, requested_at),
         (Err(failure), _) if failure.code == FailureCode::ReadOnly => {
             group.does_not_lead(&spec.member, clock.now());
         }
