--- a/crates/gullspar_direct/src/reading/freshness.rs
+++ b/crates/gullspar_direct/src/reading/freshness.rs
@@ -3,20 +3,20 @@
 use std::time::Duration;
 
 gullspar_model::record! {
-    /// What the callers of a service may see in a read.
+    /// The freshness that a service guarantees for reads.
     #[derive(Copy)]
     pub enum Freshness {
-        /// Every commit acknowledged before the read.
+        /// Includes every commit acknowledged before the read.
         Latest,
-        /// Every commit acknowledged more than this many milliseconds before the read.
+        /// Includes every commit acknowledged more than `ms` milliseconds before the read.
         MaxAge { ms: u64 },
-        /// The same, and every commit of the session itself.
+        /// As [`MaxAge`](Freshness::MaxAge), and includes every commit of the session itself.
         OwnWrites { max_age_ms: u64 },
     }
 }
 
 impl Freshness {
-    /// The greatest age that data may have; `None` where no age will do.
+    /// The maximum age of the data; `None` if it must be the latest.
     pub(crate) fn max_age(self) -> Option<Duration> {
         match self {
             Freshness::Latest => None,
--- a/crates/gullspar_direct/src/reading/mod.rs
+++ b/crates/gullspar_direct/src/reading/mod.rs
@@ -1,4 +1,4 @@
-//! Reads: how fresh they must be, and which target serves them.
+//! Reads: required freshness and target selection.
 
 pub(crate) mod freshness;
 pub(crate) mod position_samples;
--- a/crates/gullspar_direct/src/reading/position_samples.rs
+++ b/crates/gullspar_direct/src/reading/position_samples.rs
@@ -1,4 +1,4 @@
-//! What is known of where a group's leader stood, and when.
+//! Log positions of a group's leader at known times.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,55 +6,56 @@
 use gullspar_border::BootInstant;
 use gullspar_model::LogPoint;
 
-/// How long readings are kept: longer than the greatest age that callers accept.
-const KEEP: Duration = Duration::from_secs(6);
+/// How long samples are kept; longer than the maximum age that callers accept.
+const SAMPLE_TTL: Duration = Duration::from_secs(6);
 
-/// PositionSamples closer together than this are not both kept; it bounds the memory of a busy group.
-const SPACING: Duration = Duration::from_millis(20);
+/// Minimum time between two samples; bounds the memory of a busy group.
+const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The end of the leader's log, as read at some time.
+/// The end of the leader's log at a known time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PositionSample {
-    /// When the leader was asked. Every commit acknowledged before is at or below `point`.
+    /// When the leader was asked. Every commit acknowledged before that time is at or below `point`.
     pub requested_at: BootInstant,
     pub point: LogPoint,
 }
 
-/// PositionSamples of one group, the oldest first.
+/// Position samples of one group, oldest first.
 ///
-/// A read that may be as old as A needs all commits acknowledged more than A ago. Every reading requested_at
-/// within A has them all, and the oldest such reading asks the least of a replica.
+/// A read with a maximum age must see all commits acknowledged before that age. Every sample requested since then
+/// includes them, and the oldest of these samples is the easiest for a replica to have reached.
 #[derive(Debug, Default)]
 pub struct PositionSamples {
-    list: VecDeque<PositionSample>,
+    samples: VecDeque<PositionSample>,
 }
 
 impl PositionSamples {
-    /// Adds a reading.
-    pub fn add(&mut self, reading: PositionSample) {
-        // What was read of an older term may have been rolled back, and no log would ever reach it.
-        self.list.retain(|it| it.point.term >= reading.point.term);
-        if self.list.back().is_some_and(|it| it.point.term > reading.point.term) {
+    /// Adds a sample, unless it is from an older term or too close to the one before it.
+    pub fn add(&mut self, sample: PositionSample) {
+        // Positions of an older term may have been rolled back, so that no replica would ever reach them.
+        self.samples.retain(|it| it.point.term >= sample.point.term);
+        if self.samples.back().is_some_and(|it| it.point.term > sample.point.term) {
             return;
         }
-        let oldest = reading.requested_at.minus(KEEP);
-        self.list.retain(|it| it.requested_at >= oldest);
-        let at = self.list.partition_point(|it| it.requested_at <= reading.requested_at);
-        let before = at.checked_sub(1).and_then(|it| self.list.get(it));
-        if before.is_some_and(|it| reading.requested_at.since(it.requested_at) < SPACING) {
+        let oldest = sample.requested_at.minus(SAMPLE_TTL);
+        self.samples.retain(|it| it.requested_at >= oldest);
+        let at = self.samples.partition_point(|it| it.requested_at <= sample.requested_at);
+        let before = at.checked_sub(1).and_then(|it| self.samples.get(it));
+        if before.is_some_and(|it| sample.requested_at.since(it.requested_at) < MIN_SAMPLE_INTERVAL)
+        {
             return;
         }
-        self.list.insert(at, reading);
+        self.samples.insert(at, sample);
     }
 
-    /// The oldest reading requested_at no more than `max_age` before `now`.
+    /// The oldest sample requested no more than `max_age` before `now`.
     pub fn oldest_within(&self, now: BootInstant, max_age: Duration) -> Option<PositionSample> {
         let limit = now.minus(max_age);
-        self.list.iter().find(|it| it.requested_at >= limit).copied()
+        self.samples.iter().find(|it| it.requested_at >= limit).copied()
     }
 
-    /// The newest reading.
+    /// The newest sample.
     pub fn newest(&self) -> Option<PositionSample> {
-        self.list.back().copied()
+        self.samples.back().copied()
     }
 }
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -21,46 +21,45 @@
 use crate::targets::target::Target;
 use crate::{Freshness, Proxy};
 
-/// Pause before a read looks again for a target when none can serve it.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
+/// Delay before a read selects a target again if none could serve it.
+const RESELECT_DELAY: Duration = Duration::from_millis(25);
 
-/// Part of the allowed age that is not used, for the time that passes between choosing the point and
-/// the target's checking it.
+/// Subtracted from the allowed age, for the time between choosing the point and the target's check of it.
 const AGE_MARGIN: Duration = Duration::from_millis(60);
 
-/// Tries of one read at the same time. Two replicas may be silent while the leader could serve it; more
-/// would only multiply the load.
-const TRIES_AT_ONCE: usize = 3;
+/// Maximum concurrent attempts of one read. It lets the leader serve a read that two replicas don't answer, and bounds
+/// the load.
+const MAX_CONCURRENT_ATTEMPTS: usize = 3;
 
-/// One try of a read, while it runs.
+/// A running attempt of a read.
 struct ReadAttempt {
     member: MemberName,
-    /// When it was begun, or last looked at while it waited for its place.
-    looked_at: Cell<Instant>,
-    /// When it got its place; from then on it may run.
+    /// When the attempt started, or was last checked while it waited for its permit.
+    checked_at: Cell<Instant>,
+    /// When the attempt got its permit; the target may run the statement from then on.
     sent_at: Cell<Option<Instant>>,
-    withdrawn: Cell<bool>,
+    is_withdrawn: Cell<bool>,
     withdraw: Event,
 }
 
 impl ReadAttempt {
-    /// When to look whether another try is due.
-    fn look_at(&self, patience: Duration) -> Instant {
-        self.sent_at.get().unwrap_or(self.looked_at.get()) + patience
+    /// When to check next whether another attempt is due.
+    fn next_check_at(&self, patience: Duration) -> Instant {
+        self.sent_at.get().unwrap_or(self.checked_at.get()) + patience
     }
 }
 
-/// Where a read goes.
+/// The target selected for a statement.
 pub(crate) struct SelectedTarget {
     pub(crate) target: Rc<Target>,
-    /// `Some` on a replica: the point that it must have reached.
+    /// The point that the target must have reached; `None` on the leader.
     pub(crate) at_least: Option<LogPoint>,
-    /// How old the reading behind that point is.
+    /// The age of the position sample behind that point.
     pub(crate) sample_age: Option<Duration>,
 }
 
 impl SelectedTarget {
-    /// Notes the place as the next try.
+    /// Records the target in `trace` as the next attempt.
     pub(crate) fn record_in(&self, trace: &mut Trace) {
         trace.member = Some(self.target.member());
         trace.on_leader = self.at_least.is_none();
@@ -70,14 +69,15 @@
     }
 }
 
-/// The point that a replica must have reached, and the age of the reading that says so.
+/// The point that a replica must have reached, and the age of the position sample behind it.
 pub(crate) struct RequiredPoint {
     pub(crate) point: LogPoint,
     pub(crate) sample_age: Duration,
 }
 
 impl Proxy {
-    /// Runs a read outside of a transaction.
+    /// Runs a read outside of a transaction, with further attempts on other targets until one answers or the deadline
+    /// passes.
     pub(crate) async fn read(
         self: &Rc<Self>,
         group: &Rc<Group>,
@@ -88,41 +88,43 @@
         let (tx, mut rx) = mpsc::unbounded();
         let mut tried: Vec<MemberName> = Vec::new();
         let mut running: Vec<Rc<ReadAttempt>> = Vec::new();
-        let mut last = NotRun::NoPrimary;
+        let mut last_reason = NotRun::NoPrimary;
         let mut failed = None;
-        let mut another_due = true;
+        let mut is_another_due = true;
         while clock.now() < req.deadline {
-            if another_due && running.len() < TRIES_AT_ONCE {
-                if let Some(place) = self.select_read_target(group, req, &tried) {
-                    tried.push(place.target.member());
-                    place.record_in(trace);
+            if is_another_due && running.len() < MAX_CONCURRENT_ATTEMPTS {
+                if let Some(selected) = self.select_read_target(group, req, &tried) {
+                    tried.push(selected.target.member());
+                    selected.record_in(trace);
                     if trace.tries > 1 {
                         self.spend_again(req.customer.as_ref());
                     }
-                    running.push(self.spawn_try(group, req, place, tx.clone()));
-                    another_due = false;
+                    running.push(self.spawn_attempt(group, req, selected, tx.clone()));
+                    is_another_due = false;
                 } else if running.is_empty() {
                     if self.is_hopeless(group) {
                         break;
                     }
-                    // Nothing can serve it at this moment.
+                    // No target can serve the read at present.
                     tried.clear();
-                    let pause = (clock.now() + LOOK_AGAIN).min(req.deadline);
+                    let pause = (clock.now() + RESELECT_DELAY).min(req.deadline);
                     let _ = within(&*clock, pause, group.listen()).await;
                     continue;
                 }
             }
-            let newest = running.last().filter(|_| !another_due);
-            let until = newest.map_or(req.deadline, |it| it.look_at(req.patience));
-            let Ok((ended, end)) = next_end(&*clock, &mut rx, until.min(req.deadline)).await else {
+            let newest = running.last().filter(|_| !is_another_due);
+            let until = newest.map_or(req.deadline, |it| it.next_check_at(req.patience));
+            let Ok((finished, outcome)) =
+                next_outcome(&*clock, &mut rx, until.min(req.deadline)).await
+            else {
                 if let Some(newest) = running.last() {
-                    another_due = self.another_is_due(group, req, &tried, newest);
+                    is_another_due = self.is_another_attempt_due(group, req, &tried, newest);
                 }
                 continue;
             };
-            running.retain(|it| !Rc::ptr_eq(it, &ended));
-            another_due = true;
-            match end {
+            running.retain(|it| !Rc::ptr_eq(it, &finished));
+            is_another_due = true;
+            match outcome {
                 AttemptOutcome::Answered(answer) => {
                     let retry = answer.result.as_ref().is_err_and(Failure::failed_there);
                     if !retry || failed.is_some() {
@@ -130,9 +132,9 @@
                     }
                     failed = Some(answer);
                 }
-                AttemptOutcome::NotRun(reason) => last = reason,
+                AttemptOutcome::NotRun(reason) => last_reason = reason,
                 AttemptOutcome::Refused(reason) => {
-                    last = reason;
+                    last_reason = reason;
                     if running.is_empty() && self.select_read_target(group, req, &tried).is_none() {
                         break;
                     }
@@ -143,18 +145,18 @@
         if let Some(answer) = failed {
             return answer;
         }
-        let sent = running.iter().any(|it| it.sent_at.get().is_some());
-        let failure = if sent { refusal::timed_out() } else { refusal::not_run(last) };
-        log::info!(request = req.id.as_str(), group = group.name.as_str(), reason = failure.text.as_str(), running = running.len(); "G0721 a read is given up");
+        let was_sent = running.iter().any(|it| it.sent_at.get().is_some());
+        let failure = if was_sent { refusal::timed_out() } else { refusal::not_run(last_reason) };
+        log::info!(request = req.id.as_str(), group = group.name.as_str(), reason = failure.text.as_str(), running = running.len(); "G0721 giving up on a read");
         Answer::failed(failure, TransactionStatus::Idle)
     }
 
-    /// Whether another try is due beside `newest`, whose time to be looked at has come.
+    /// Whether another attempt is due in addition to `newest`.
     ///
-    /// One that was sent and is silent gets another beside it. One that still waits for its place here is
-    /// withdrawn if another target is the better choice by now, and stays otherwise: beside it, the same
-    /// read would stand in two queues and be run twice, just when targets have too much to do.
-    fn another_is_due(
+    /// That is so if `newest` was sent and has no answer. If it still waits for its permit, it is withdrawn when
+    /// another target is a better choice by now. Otherwise it keeps waiting alone: a second attempt would queue and run
+    /// the read twice while targets are overloaded.
+    fn is_another_attempt_due(
         &self,
         group: &Group,
         req: &Request,
@@ -163,42 +165,42 @@
     ) -> bool {
         let now = self.borders.clock.now();
         if newest.sent_at.get().is_some() {
-            return now >= newest.look_at(req.patience);
+            return now >= newest.next_check_at(req.patience);
         }
-        newest.looked_at.set(now);
+        newest.checked_at.set(now);
         let others: Vec<MemberName> =
             tried.iter().filter(|it| **it != newest.member).cloned().collect();
-        let better = self
+        let better_target = self
             .select_read_target(group, req, &others)
             .filter(|it| it.target.member() != newest.member);
-        if better.is_some() {
-            newest.withdrawn.set(true);
+        if better_target.is_some() {
+            newest.is_withdrawn.set(true);
             newest.withdraw.notify(usize::MAX);
         }
         false
     }
 
-    /// The best place for a read now.
+    /// Selects the best target for a read; `None` if no target can serve it now.
     pub(crate) fn select_read_target(
         &self,
         group: &Group,
         req: &Request,
         tried: &[MemberName],
     ) -> Option<SelectedTarget> {
-        let needed = self.required_point(group, req);
-        let wanted = ReadCriteria {
-            at_least: needed.as_ref().map(|it| it.point),
+        let required = self.required_point(group, req);
+        let criteria = ReadCriteria {
+            at_least: required.as_ref().map(|it| it.point),
             tried,
-            own: &self.own.data_centre,
+            own_data_centre: &self.own.data_centre,
             customer: req.customer.as_ref(),
             now: self.borders.clock.now(),
         };
-        let target = target_selection::select(group, &wanted)?;
-        let needed = if group.is_leader(&target.member()) { None } else { needed };
+        let target = target_selection::select(group, &criteria)?;
+        let required = if group.is_leader(&target.member()) { None } else { required };
         Some(SelectedTarget {
             target,
-            at_least: needed.as_ref().map(|it| it.point),
-            sample_age: needed.map(|it| it.sample_age),
+            at_least: required.as_ref().map(|it| it.point),
+            sample_age: required.map(|it| it.sample_age),
         })
     }
 
@@ -206,50 +208,50 @@
     pub(crate) fn required_point(&self, group: &Group, req: &Request) -> Option<RequiredPoint> {
         let max_age = req.freshness.max_age()?.saturating_sub(AGE_MARGIN);
         let now = self.borders.clock.boot_now();
-        let reading = group.reading_within(now, max_age)?;
+        let sample = group.reading_within(now, max_age)?;
         let own = match req.freshness {
             Freshness::OwnWrites { .. } => req.own_commit,
             Freshness::Latest | Freshness::MaxAge { .. } => None,
         };
-        let point = own.map_or(reading.point, |it| it.max(reading.point));
-        Some(RequiredPoint { point, sample_age: now.since(reading.requested_at) })
+        let point = own.map_or(sample.point, |it| it.max(sample.point));
+        Some(RequiredPoint { point, sample_age: now.since(sample.requested_at) })
     }
 
-    fn spawn_try(
+    fn spawn_attempt(
         self: &Rc<Self>,
         group: &Rc<Group>,
         req: &Rc<Request>,
-        place: SelectedTarget,
+        selected: SelectedTarget,
         tx: mpsc::UnboundedSender<(Rc<ReadAttempt>, AttemptOutcome)>,
     ) -> Rc<ReadAttempt> {
         let (this, group, req) = (Rc::clone(self), Rc::clone(group), Rc::clone(req));
-        let own = Rc::new(ReadAttempt {
-            member: place.target.member(),
-            looked_at: Cell::new(this.borders.clock.now()),
+        let attempt = Rc::new(ReadAttempt {
+            member: selected.target.member(),
+            checked_at: Cell::new(this.borders.clock.now()),
             sent_at: Cell::new(None),
-            withdrawn: Cell::new(false),
+            is_withdrawn: Cell::new(false),
             withdraw: Event::new(),
         });
-        let tried = Rc::clone(&own);
+        let running = Rc::clone(&attempt);
         let task = async move {
-            let end = this.try_read(&group, &req, place, &tried, &tx).await;
-            // Nobody waits if another try was faster; the connection is back in its pool all the same.
-            let _ = tx.unbounded_send((tried, end));
+            let outcome = this.run_attempt(&group, &req, selected, &running, &tx).await;
+            // The receiver is gone if another attempt was faster; the result is then dropped.
+            let _ = tx.unbounded_send((running, outcome));
         };
         compio::runtime::spawn(task).detach();
-        own
+        attempt
     }
 
-    async fn try_read(
+    async fn run_attempt(
         &self,
         group: &Rc<Group>,
         req: &Request,
-        place: SelectedTarget,
-        own: &ReadAttempt,
+        selected: SelectedTarget,
+        attempt: &ReadAttempt,
         tx: &mpsc::UnboundedSender<(Rc<ReadAttempt>, AttemptOutcome)>,
     ) -> AttemptOutcome {
-        let target = place.target;
-        let withdraw = own.withdraw.listen();
+        let target = selected.target;
+        let withdraw = attempt.withdraw.listen();
         let admitted = {
             let admit = target.admit(req);
             futures::pin_mut!(admit);
@@ -264,33 +266,33 @@
             Ok(permit) => permit,
             Err(reason) => return AttemptOutcome::Refused(reason),
         };
-        if tx.is_closed() || own.withdrawn.get() {
+        if tx.is_closed() || attempt.is_withdrawn.get() {
             return AttemptOutcome::NotRun(NotRun::DeadlinePassed);
         }
-        own.sent_at.set(Some(self.borders.clock.now()));
-        let around = AttemptContext {
+        attempt.sent_at.set(Some(self.borders.clock.now()));
+        let context = AttemptContext {
             borders: self.borders.clone(),
             group: Rc::clone(group),
             target: Rc::clone(&target),
         };
-        match place.at_least {
-            None => around.read_on_leader(req, permit).await,
+        match selected.at_least {
+            None => context.read_on_leader(req, permit).await,
             Some(_) => match self.required_point(group, req) {
-                Some(needed) => around.read_on_replica(req, permit, needed.point).await,
+                Some(required) => context.read_on_replica(req, permit, required.point).await,
                 None => AttemptOutcome::NotRun(NotRun::Behind),
             },
         }
     }
 }
 
-async fn next_end(
+async fn next_outcome(
     clock: &dyn gullspar_border::Clock,
     rx: &mut mpsc::UnboundedReceiver<(Rc<ReadAttempt>, AttemptOutcome)>,
     until: Instant,
 ) -> Result<(Rc<ReadAttempt>, AttemptOutcome), DeadlinePassed> {
     match within(clock, until, rx.next()).await? {
-        Some(end) => Ok(end),
-        // A sender is held while waiting, so that the channel can't have ended.
+        Some(outcome) => Ok(outcome),
+        // The caller holds a sender, so the channel can't be closed.
         None => future::pending().await,
     }
 }
--- a/crates/gullspar_direct/src/reading/target_selection.rs
+++ b/crates/gullspar_direct/src/reading/target_selection.rs
@@ -1,4 +1,4 @@
-//! Which target a read goes to.
+//! Selection of the target that serves a read.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,70 +8,70 @@
 use crate::groups::group::Group;
 use crate::targets::target::Target;
 
-/// What a target outside the own data centre is charged; about what the way there and back takes.
+/// Cost added to a target in another data centre; about the network round trip.
 const REMOTE_COST: Duration = Duration::from_millis(2);
 
-/// What the leader is charged for a read that a replica can serve, as a multiple of its expected time.
+/// Factor on the cost of the leader.
 ///
-/// Writes and reads of the latest data have nowhere else to go, so its slots are kept for them until the
-/// replicas are clearly busier.
-const LEADER_FACTOR: u32 = 3;
+/// Only the leader serves writes and reads of the latest data. Its slots are therefore left to them until the replicas
+/// are clearly busier.
+const LEADER_COST_FACTOR: u32 = 3;
 
-/// What a replica is charged that is not known to have reached the wanted point: asking it may cost a
-/// round trip in vain.
+/// Cost added to a replica that is not known to have reached the required point; it may refuse the read.
 const UNCERTAIN_COST: Duration = Duration::from_millis(3);
 
-/// Time that a statement is expected to take where no target has answered one yet.
-const UNKNOWN_MEAN: Duration = Duration::from_millis(20);
+/// Assumed statement time until a target of the group has answered one.
+const INITIAL_MEAN_ESTIMATE: Duration = Duration::from_millis(20);
 
-/// Where a read may go and what it needs there.
+/// Conditions that a target must meet to serve a read.
 pub(crate) struct ReadCriteria<'a> {
-    /// The point that a replica must have reached; `None` when only the leader will do.
+    /// The point that a replica must have reached; `None` if only the leader can serve the read.
     pub(crate) at_least: Option<LogPoint>,
-    /// Members tried already for this statement.
+    /// Members that were already tried for this statement.
     pub(crate) tried: &'a [MemberName],
-    pub(crate) own: &'a DataCentre,
-    /// Whose read it is.
+    /// The data centre of this instance.
+    pub(crate) own_data_centre: &'a DataCentre,
+    /// The customer of the read.
     pub(crate) customer: Option<&'a CustomerName>,
     pub(crate) now: Instant,
 }
 
-/// The best target for a read, if any can serve it now.
-pub(crate) fn select(group: &Group, wanted: &ReadCriteria<'_>) -> Option<Rc<Target>> {
+/// Returns the cheapest target that can serve a read now. Avoided targets are used only if there is no other.
+pub(crate) fn select(group: &Group, criteria: &ReadCriteria<'_>) -> Option<Rc<Target>> {
     let targets = group.targets();
-    let usual = group.usual_mean().unwrap_or(UNKNOWN_MEAN);
-    let able = |avoided: bool| {
+    let usual = group.usual_mean().unwrap_or(INITIAL_MEAN_ESTIMATE);
+    let cheapest = |include_avoided: bool| {
         targets
             .iter()
             .filter(|it| !it.is_unresponsive() && it.has_responded())
-            .filter(|it| !wanted.tried.contains(&it.member()))
-            .filter(|it| avoided || !it.is_avoided(wanted.now))
-            .filter(|it| is_able(group, it, wanted))
-            .min_by_key(|it| cost(group, it, wanted, usual))
+            .filter(|it| !criteria.tried.contains(&it.member()))
+            .filter(|it| include_avoided || !it.is_avoided(criteria.now))
+            .filter(|it| can_serve(group, it, criteria))
+            .min_by_key(|it| cost(group, it, criteria, usual))
             .cloned()
     };
-    able(false).or_else(|| able(true))
+    cheapest(false).or_else(|| cheapest(true))
 }
 
-fn is_able(group: &Group, target: &Target, wanted: &ReadCriteria<'_>) -> bool {
+fn can_serve(group: &Group, target: &Target, criteria: &ReadCriteria<'_>) -> bool {
     if group.is_leader(&target.member()) {
         return !target.is_closed_to_new_work();
     }
-    let Some(point) = wanted.at_least else { return false };
-    !target.spec().leaving && !target.is_behind(point, wanted.now)
+    let Some(point) = criteria.at_least else { return false };
+    !target.spec().leaving && !target.is_behind(point, criteria.now)
 }
 
-fn cost(group: &Group, target: &Target, wanted: &ReadCriteria<'_>, usual: Duration) -> Duration {
+fn cost(group: &Group, target: &Target, criteria: &ReadCriteria<'_>, usual: Duration) -> Duration {
     let spec = target.spec();
     let mut cost = target.expected_duration(usual);
-    if spec.data_centre != *wanted.own {
+    if spec.data_centre != *criteria.own_data_centre {
         cost += REMOTE_COST;
     }
-    // Reads of a customer so stay where its connections are, unless the others are clearly less busy.
-    cost += wanted.customer.map_or(Duration::ZERO, |it| target.pool.opening_cost(it));
+    // Prefers targets with an idle connection of the customer, unless others are clearly less busy.
+    cost += criteria.customer.map_or(Duration::ZERO, |it| target.pool.opening_cost(it));
     if group.is_leader(&spec.member) {
-        return cost * LEADER_FACTOR;
+        return cost * LEADER_COST_FACTOR;
     }
-    let reached = target.point().is_some_and(|it| Some(it) >= wanted.at_least);
-    if reached { cost } else { cost + UNCERTAIN_COST }
+    let has_reached = target.point().is_some_and(|it| Some(it) >= criteria.at_least);
+    if has_reached { cost } else { cost + UNCERTAIN_COST }
 }
