--- a/crates/gullspar_customer/src/customers.rs
+++ b/crates/gullspar_customer/src/customers.rs
@@ -1,4 +1,4 @@
-//! All customers of a configuration.
+//! The customers of a configuration, with their keys and limits.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::{KeyFingerprint, RateLimit};
 
 record! {
-    /// Whose each key is, and each customer's limit.
+    /// Maps keys to the customers that hold them, and customers to their limits.
     #[derive(Default)]
     pub struct Customers {
         holders: BTreeMap<KeyFingerprint, CustomerName>,
@@ -16,7 +16,7 @@
 }
 
 impl Customers {
-    /// Adds a customer; without a limit it may have any number of operations run.
+    /// Adds a customer. Without a `limit` its operations aren't limited.
     pub fn add(
         &mut self,
         name: CustomerName,
@@ -27,22 +27,22 @@
         self.limits.insert(name, limit);
     }
 
-    /// The customer that holds `key`.
+    /// The customer that holds `key`; `None` if the key is unknown.
     pub fn holder(&self, key: &KeyFingerprint) -> Option<&CustomerName> {
         self.holders.get(key)
     }
 
-    /// The limit of `customer`; `None` if it has none or is not known.
+    /// The limit of `customer`; `None` if it has none or is unknown.
     pub fn limit(&self, customer: &CustomerName) -> Option<RateLimit> {
         self.limits.get(customer).copied().flatten()
     }
 
-    /// How many customers there are.
+    /// The number of customers.
     pub fn len(&self) -> usize {
         self.limits.len()
     }
 
-    /// Whether there is no customer.
+    /// Whether there are no customers.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
     }
--- a/crates/gullspar_customer/src/key_fingerprint.rs
+++ b/crates/gullspar_customer/src/key_fingerprint.rs
@@ -1,11 +1,12 @@
-//! What instances know of a key.
+//! Fingerprints of callers' keys.
 
 use sha2::{Digest, Sha256};
 
 gullspar_model::value! {
-    /// A one-way hash of a caller's key; the key itself is kept nowhere.
+    /// A one-way hash of a caller's key; the key itself is never stored.
     ///
-    /// It tells keys apart in configurations, between instances and in logs, and is of no use for opening a session.
+    /// It identifies the key in configurations, in messages between instances and in logs, and can't be used to open a
+    /// session.
     pub struct KeyFingerprint([u8; KeyFingerprint::BYTES]);
 }
 
--- a/crates/gullspar_customer/src/leased_tokens.rs
+++ b/crates/gullspar_customer/src/leased_tokens.rs
@@ -1,4 +1,4 @@
-//! The tokens of one customer that this instance may spend.
+//! The tokens of one customer that were granted to this instance.
 
 use std::time::Duration;
 
@@ -6,60 +6,60 @@
 
 use crate::TokenGrant;
 
-/// How long granted tokens may be spent; afterwards they are worth nothing, and are not missed at their owner.
-const SPEND_WITHIN: Duration = Duration::from_millis(250);
+/// How long granted tokens are valid. Expired tokens are not returned to the owner.
+const TOKEN_TTL: Duration = Duration::from_millis(250);
 
-/// Time over which the rate of operations is averaged.
-const RATE_OVER: Duration = Duration::from_secs(2);
+/// Time constant of the average rate of operations.
+const RATE_AVERAGING_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long operations go on at the usual rate while nobody grants any: until an owner that is silent is known to be dead, and
-/// its successor grants.
-const GRACE: Duration = Duration::from_millis(2500);
+/// Grace period: how long operations may continue at the average rate without grants. Covers the time until a silent
+/// owner is known to be dead and the next owner grants tokens.
+const GRACE_PERIOD: Duration = Duration::from_millis(2500);
 
-/// How long, for a customer that was at its limit lately.
-const GRACE_AT_LIMIT: Duration = Duration::from_secs(1);
+/// Grace period for a customer that was at its limit recently.
+const GRACE_PERIOD_AT_LIMIT: Duration = Duration::from_secs(1);
 
-/// How long after it was at its limit a customer is likely to be there still.
-const AT_LIMIT_FOR: Duration = Duration::from_secs(5);
+/// How long a customer counts as at its limit after a request for tokens got none.
+const AT_LIMIT_PERIOD: Duration = Duration::from_secs(5);
 
-/// Time in which what was spent while nobody granted any may be spent again.
-const GRACE_REGAINED_IN: Duration = Duration::from_secs(10);
+/// Time in which a used-up grace period is fully available again.
+const GRACE_RECOVERY_PERIOD: Duration = Duration::from_secs(10);
 
-/// The longest time for which an empty quota is not asked again.
-const MOST_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum time before an exhausted quota is asked for tokens again.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What becomes of an operation.
+/// Whether an operation may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsumeOutcome {
-    /// It may run.
+    /// The operation may run.
     Granted,
-    /// The customer is at its limit; the time after which to come back.
+    /// The customer is at its limit; the operation may be retried after `retry_after`.
     Exhausted { retry_after: Duration },
-    /// The owner has to be asked.
+    /// There are no tokens; the owner has to be asked.
     NeedsGrant,
 }
 
-/// Tokens that were granted to this instance, and how it goes on while nobody grants any.
+/// Tokens that were granted to this instance, and the grace period for operations without grants.
 ///
-/// Waiting for the owner at each operation would cost a round trip; so tokens are granted for the operations of the next
-/// moment as well. What is not spent soon is lost, so that tokens granted before a cut are not spent long after it.
+/// Tokens are also granted in advance for expected operations, which saves a round trip to the owner for each. They
+/// expire soon, so that tokens granted before a network partition aren't consumed long after it.
 #[derive(Clone, Debug)]
 pub struct LeasedTokens {
     tokens: u32,
     expires_at: BootInstant,
     exhausted_until: Option<BootInstant>,
-    /// When its owner last had no token for it.
+    /// When the owner last granted no tokens because the quota was exhausted.
     exhausted_at: Option<BootInstant>,
-    /// Operations a second of late, and when that was worked out.
+    /// Average rate, in operations per second, as of `rated_at`.
     rate: f64,
     rated_at: BootInstant,
-    /// The part left of the operations that may run while nobody grants any.
+    /// Remaining fraction of the grace period, from 0 to 1.
     grace_left: f64,
-    grace_spent_at: BootInstant,
+    grace_updated_at: BootInstant,
 }
 
 impl LeasedTokens {
-    /// No tokens yet.
+    /// An account without tokens.
     pub fn new(now: BootInstant) -> LeasedTokens {
         LeasedTokens {
             tokens: 0,
@@ -69,18 +69,18 @@
             rate: 0.0,
             rated_at: now,
             grace_left: 1.0,
-            grace_spent_at: now,
+            grace_updated_at: now,
         }
     }
 
-    /// Spends a token for one operation, if there is one.
+    /// Consumes a token for one operation, if there is one.
     pub fn consume(&mut self, now: BootInstant) -> ConsumeOutcome {
         if now >= self.expires_at {
             self.tokens = 0;
         }
         if self.tokens > 0 {
             self.tokens -= 1;
-            self.note_operation(now);
+            self.record_operation(now);
             return ConsumeOutcome::Granted;
         }
         match self.exhausted_until {
@@ -91,72 +91,72 @@
         }
     }
 
-    /// Spends a token for an operation that could not wait to be granted, such as the second try of a read.
+    /// Consumes a token, if there is one, for an operation that runs in any case, such as the second attempt of a read.
     pub fn consume_if_available(&mut self) {
         self.tokens = self.tokens.saturating_sub(1);
     }
 
-    /// Takes what the owner granted.
+    /// Adds the tokens that the owner granted, or records that the quota is exhausted.
     pub fn apply_grant(&mut self, grant: &TokenGrant, now: BootInstant) {
         if now >= self.expires_at {
             self.tokens = 0;
         }
         self.tokens += grant.tokens;
-        self.expires_at = now.plus(SPEND_WITHIN);
+        self.expires_at = now.plus(TOKEN_TTL);
         if grant.tokens == 0 && !grant.is_settling {
             self.exhausted_at = Some(now);
         }
         self.exhausted_until = (grant.tokens == 0 && !grant.is_settling).then(|| {
-            let pause = Duration::from_millis(u64::from(grant.next_token_ms));
-            now.plus(pause.min(MOST_PAUSE))
+            let retry_delay = Duration::from_millis(u64::from(grant.next_token_ms));
+            now.plus(retry_delay.min(MAX_RETRY_DELAY))
         });
     }
 
-    /// Lets an operation run although nobody grants any, as far as such operations go.
+    /// Consumes part of the grace period for one operation; `false` if the grace period is used up.
     ///
-    /// The owner may be gone or cut off. Its successor grants nothing for a second, in which instances go on at the rate
-    /// that they had; together that is no more than the customer was granted before.
+    /// Used while the owner is dead or unreachable, or its successor grants nothing yet. Operations continue at their
+    /// average rate, so that all instances together run no more than was granted before.
     pub fn consume_in_grace_period(&mut self, now: BootInstant) -> bool {
-        let at_limit = self.exhausted_at.is_some_and(|at| now.since(at) < AT_LIMIT_FOR);
-        let time = if at_limit { GRACE_AT_LIMIT } else { GRACE };
-        let allowed = (self.rate * time.as_secs_f64()).max(1.0);
-        let passed = now.since(self.grace_spent_at).as_secs_f64();
-        let regained = passed / GRACE_REGAINED_IN.as_secs_f64();
-        self.grace_left = (self.grace_left + regained).min(1.0);
-        self.grace_spent_at = now;
-        let one = 1.0 / allowed;
-        if self.grace_left < one {
+        let at_limit = self.exhausted_at.is_some_and(|at| now.since(at) < AT_LIMIT_PERIOD);
+        let grace_period = if at_limit { GRACE_PERIOD_AT_LIMIT } else { GRACE_PERIOD };
+        let allowed = (self.rate * grace_period.as_secs_f64()).max(1.0);
+        let passed = now.since(self.grace_updated_at).as_secs_f64();
+        let recovered = passed / GRACE_RECOVERY_PERIOD.as_secs_f64();
+        self.grace_left = (self.grace_left + recovered).min(1.0);
+        self.grace_updated_at = now;
+        let cost = 1.0 / allowed;
+        if self.grace_left < cost {
             return false;
         }
-        self.grace_left -= one;
+        self.grace_left -= cost;
         true
     }
 
-    /// Tokens to ask for: those for the operations that wait, and for those expected until tokens expire.
+    /// The number of tokens to request: for `waiting` operations, and for those expected until tokens expire.
     pub fn tokens_to_request(&self, waiting: u32, now: BootInstant) -> u32 {
-        let expected = self.rate_at(now) * SPEND_WITHIN.as_secs_f64();
+        let expected = self.rate_at(now) * TOKEN_TTL.as_secs_f64();
         waiting + expected as u32
     }
 
-    /// Whether to ask for more before operations have to wait.
+    /// Whether to request more tokens now, before operations have to wait.
     pub fn is_running_low(&self, now: BootInstant) -> bool {
-        let usual = self.rate_at(now) * SPEND_WITHIN.as_secs_f64();
+        let usual = self.rate_at(now) * TOKEN_TTL.as_secs_f64();
         usual >= 2.0 && f64::from(self.tokens) * 2.0 < usual
     }
 
     fn rate_at(&self, now: BootInstant) -> f64 {
         let passed = now.since(self.rated_at).as_secs_f64();
-        self.rate * (-passed / RATE_OVER.as_secs_f64()).exp()
+        self.rate * (-passed / RATE_AVERAGING_PERIOD.as_secs_f64()).exp()
     }
 
-    fn note_operation(&mut self, now: BootInstant) {
-        self.rate = self.rate_at(now) + 1.0 / RATE_OVER.as_secs_f64();
+    fn record_operation(&mut self, now: BootInstant) {
+        self.rate = self.rate_at(now) + 1.0 / RATE_AVERAGING_PERIOD.as_secs_f64();
         self.rated_at = now;
     }
 
-    /// Whether nothing was spent for so long that nothing is left to know.
+    /// Whether nothing was consumed for so long that this account can be dropped without effect.
     pub fn is_idle(&self, now: BootInstant) -> bool {
-        now.since(self.rated_at) > GRACE_REGAINED_IN
-            && now.since(self.grace_spent_at) > GRACE_REGAINED_IN
+        now.since(self.rated_at) > GRACE_RECOVERY_PERIOD
+            && now.since(self.grace_updated_at) > GRACE_RECOVERY_PERIOD
     }
 }
--- a/crates/gullspar_customer/src/lib.rs
+++ b/crates/gullspar_customer/src/lib.rs
@@ -1,7 +1,8 @@
-//! Customers: who holds which key, and how many operations each may have run.
+//! Customers: their keys and their rate limits.
 //!
-//! Nothing here does input or output. A customer's limit holds over all instances together: one of them owns its
-//! quota ([`OwnedQuotas`]) and grants tokens, the others spend what they have leased ([`LeasedTokens`]). See `docs/design/customers.md`.
+//! A customer's limit applies to all instances together: one instance owns its quota ([`OwnedQuotas`]) and grants
+//! tokens, and the others consume the tokens granted to them ([`LeasedTokens`]). This crate does no input or output.
+//! See `docs/design/customers.md`.
 
 mod customers;
 mod key_fingerprint;
--- a/crates/gullspar_customer/src/owned_quotas.rs
+++ b/crates/gullspar_customer/src/owned_quotas.rs
@@ -1,4 +1,4 @@
-//! The tokens of the customers whose limits this instance keeps.
+//! The quotas that this instance owns.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 
 use crate::{QuotaHandover, RateLimit, TokenBucket, TokenGrant, TokenRequest};
 
-/// How long an instance that has become the owner of a quota grants nothing from it: until all have heard of the change,
-/// its predecessor may still grant.
+/// How long a new owner grants no tokens from a quota. Until all instances know of the change, the previous owner may
+/// still grant.
 pub const SETTLE_PERIOD: Duration = Duration::from_secs(1);
 
-/// One quota for each customer that asked here.
+/// One quota for each customer for which tokens were requested here.
 ///
-/// A new quota begins empty at the moment at which this instance may have become its owner. Begun full, a customer could
-/// have its burst again each time that the owner changes, and from all of its owners after a power loss.
+/// A new quota is empty until the settle period has passed. If it started full, a customer would get its burst again
+/// with each change of the owner, and from each owner after a power loss.
 #[derive(Debug, Default)]
 pub struct OwnedQuotas {
     entries: BTreeMap<CustomerName, Entry>,
@@ -24,45 +24,46 @@
 #[derive(Debug)]
 struct Entry {
     bucket: TokenBucket,
-    /// When this instance is surely the only owner.
-    opens_at: BootInstant,
+    /// When the settle period ends and this instance is certainly the only owner.
+    settled_at: BootInstant,
 }
 
 impl OwnedQuotas {
-    /// Grants tokens by `limit`.
+    /// Grants tokens for `req` within `limit`.
     ///
-    /// `owner_since` is when this instance may have become the owner; `part` is the part of the fleet that it speaks
-    /// for, so that two sides of a cut do not grant more together than the whole.
+    /// `owner_since` is the earliest time at which this instance can have become the owner. `fleet_fraction` is the
+    /// fraction of the fleet that it grants for, so that both sides of a network partition together stay within the
+    /// limit.
     pub fn grant(
         &mut self,
         req: &TokenRequest,
         limit: RateLimit,
         owner_since: BootInstant,
-        part: f64,
+        fleet_fraction: f64,
         now: BootInstant,
     ) -> TokenGrant {
-        let begin = || {
-            let opens_at = owner_since.plus(SETTLE_PERIOD);
-            Entry { bucket: TokenBucket::empty_since(limit, opens_at, now), opens_at }
+        let new_entry = || {
+            let settled_at = owner_since.plus(SETTLE_PERIOD);
+            Entry { bucket: TokenBucket::empty_since(limit, settled_at, now), settled_at }
         };
-        let entry = self.entries.entry(req.customer.clone()).or_insert_with(begin);
-        let Entry { bucket, opens_at } = entry;
+        let entry = self.entries.entry(req.customer.clone()).or_insert_with(new_entry);
+        let Entry { bucket, settled_at } = entry;
         if bucket.limit() != limit {
-            bucket.set_limit(limit, part, now);
+            bucket.set_limit(limit, fleet_fraction, now);
         }
-        bucket.refill(part, now);
+        bucket.refill(fleet_fraction, now);
         let tokens = bucket.consume(req.wanted);
         TokenGrant {
             customer: req.customer.clone(),
             tokens,
-            next_token_ms: bucket.next_token_ms(part),
-            is_settling: tokens == 0 && now < *opens_at,
+            next_token_ms: bucket.next_token_ms(fleet_fraction),
+            is_settling: tokens == 0 && now < *settled_at,
         }
     }
 
-    /// Closes the quotas that `is_kept` no longer holds for; gives what their next owners go on with.
-    pub fn close(&mut self, is_kept: impl Fn(&CustomerName) -> bool) -> Vec<QuotaHandover> {
-        let closed = self.entries.extract_if(.., |customer, _| !is_kept(customer));
+    /// Closes the quotas of customers for which `is_owned` is false, and returns the handovers for their next owners.
+    pub fn close(&mut self, is_owned: impl Fn(&CustomerName) -> bool) -> Vec<QuotaHandover> {
+        let closed = self.entries.extract_if(.., |customer, _| !is_owned(customer));
         closed
             .map(|(customer, entry)| QuotaHandover {
                 customer,
@@ -71,12 +72,13 @@
             .collect()
     }
 
-    /// Goes on where the owner before ended; there is nothing to wait for then.
+    /// Continues a quota with the state of its previous owner. No settle period is needed then, as that owner grants no
+    /// more.
     pub fn apply_handover(&mut self, handover: &QuotaHandover, limit: RateLimit, now: BootInstant) {
         let bucket = TokenBucket::with_thousandths(limit, handover.thousandths, now);
         let known = self.entries.get(&handover.customer);
-        if known.is_none_or(|it| now < it.opens_at) {
-            self.entries.insert(handover.customer.clone(), Entry { bucket, opens_at: now });
+        if known.is_none_or(|it| now < it.settled_at) {
+            self.entries.insert(handover.customer.clone(), Entry { bucket, settled_at: now });
         }
     }
 }
--- a/crates/gullspar_customer/src/rate_limit.rs
+++ b/crates/gullspar_customer/src/rate_limit.rs
@@ -1,17 +1,17 @@
-//! How many operations a customer may have run.
+//! Rate limit of a customer.
 
 gullspar_model::value! {
-    /// A rate over all instances together, and what may come at once beyond it.
+    /// The rate of operations that a customer may run, over all instances together, and the permitted burst.
     pub struct RateLimit {
-        /// Thousandths of an operation a second.
+        /// Sustained rate, in thousandths of an operation per second.
         pub thousandths_per_s: u64,
-        /// Operations.
+        /// Operations that may run at once in excess of the rate.
         pub burst: u64,
     }
 }
 
 impl RateLimit {
-    /// Operations a second.
+    /// The rate in operations per second.
     pub fn per_s(self) -> f64 {
         self.thousandths_per_s as f64 / 1000.0
     }
--- a/crates/gullspar_customer/src/token_message.rs
+++ b/crates/gullspar_customer/src/token_message.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of a customer's tokens.
+//! Messages between instances about a customer's tokens.
 
 use std::net::SocketAddr;
 
@@ -8,32 +8,32 @@
     /// Asks the owner of a customer's quota for tokens.
     pub struct TokenRequest {
         pub customer: CustomerName,
-        /// Tokens for the statements that wait, and for those expected soon.
+        /// Tokens for the statements that wait, and for those expected in the near future.
         pub wanted: u32,
-        /// Where to answer; an instance that is not the owner passes the question on.
+        /// Where to send the grant, since an instance that isn't the owner forwards the request.
         pub reply_to: SocketAddr,
-        /// It was passed on once, and is not passed on again.
+        /// Whether the request was already forwarded; it isn't forwarded twice.
         pub is_forwarded: bool,
     }
 }
 
 record! {
-    /// Grants tokens for a short time.
+    /// Grants tokens that expire after a short time.
     pub struct TokenGrant {
         pub customer: CustomerName,
         pub tokens: u32,
-        /// When there will be another token; of interest where fewer were granted than wanted.
+        /// Milliseconds until the next token is available; used if fewer tokens were granted than wanted.
         pub next_token_ms: u32,
-        /// The owner is new and grants nothing yet: tokens of its predecessor may still be spent.
+        /// Whether the owner is new and grants nothing yet, since tokens of its predecessor may still be in use.
         pub is_settling: bool,
     }
 }
 
 record! {
-    /// What the next owner of a quota goes on with.
+    /// Hands the state of a quota to its next owner.
     pub struct QuotaHandover {
         pub customer: CustomerName,
-        /// Thousandths of a token; negative where too many were granted.
+        /// Tokens left, in thousandths of a token; negative if too many were granted.
         pub thousandths: i64,
     }
 }
--- a/crates/gullspar_customer/tests/limits.rs
+++ b/crates/gullspar_customer/tests/limits.rs
@@ -1,43 +1,43 @@
-//! Limits over whole fleets, simulated: cuts, deaths, restarts, uneven balancers and changes of the limit.
+//! Rate limits in simulated fleets, with partitions, deaths, restarts, uneven load and changes of the limit.
 //!
-//! Each play checks the stated rule for every window, and counts what was refused although the customer kept to its limit.
+//! Each simulation checks the rule for every window of time, or counts the operations refused below the limit.
 
 mod support;
 
 use support::{Event, Fleet, Policy, S};
 use test_case::test_case;
 
-/// The rule's window, and what it allows beyond the limit.
+/// The rule's window, and the relative and absolute excess over the limit that the rule allows.
 const WINDOW: u64 = 5 * S;
 const EXCESS: f64 = 0.1;
 const SLACK: f64 = 20.0;
 
-/// The part of its limit that a customer usually asks for.
+/// A customer's usual load, as a fraction of its limit.
 const USUAL: f64 = 0.625;
 
-/// Times its usual that a customer may suddenly send.
+/// The load of a hot customer, as a multiple of its usual load.
 const HOT: f64 = 7.5;
 
-/// The most that ran in any window, as a part of what the rule allows.
+/// The most operations that ran in any window, as a fraction of what the rule allows.
 fn fullest_window(fleet: &Fleet, per_s: u64, burst: u64) -> f64 {
     let allowed = (per_s as f64 * 5.0 + burst as f64) * (1.0 + EXCESS) + SLACK;
     let ran = &fleet.ran;
     let mut first = 0;
-    let mut most = 0;
+    let mut fullest = 0;
     for (last, at) in ran.iter().enumerate() {
         while ran[first] + WINDOW <= *at {
             first += 1;
         }
-        most = most.max(last + 1 - first);
+        fullest = fullest.max(last + 1 - first);
     }
-    most as f64 / allowed
+    fullest as f64 / allowed
 }
 
 fn refused_percent(fleet: &Fleet) -> f64 {
     100.0 * fleet.refused as f64 / (fleet.refused + fleet.ran.len()).max(1) as f64
 }
 
-/// Guards against refusing a customer that keeps to its limit, however its callers are spread over instances.
+/// Guards against refusing a customer below its limit, with any distribution of its callers over instances.
 #[test_case(9, 9, 200, 1.0; "9 instances")]
 #[test_case(68, 32, 200, 1.0; "68 instances, a large customer")]
 #[test_case(68, 32, 5, 1.0; "68 instances, a small customer")]
@@ -49,15 +49,15 @@
         fleet.set_limit(per_s, per_s);
         fleet.run(20 * S, per_s as f64 * USUAL);
         let refused = refused_percent(&fleet);
-        let exactly = 100.0 * fleet.exactly_refused as f64 / (20.0 * per_s as f64 * USUAL);
+        let exactly_refused = 100.0 * fleet.exactly_refused as f64 / (20.0 * per_s as f64 * USUAL);
         assert!(
-            refused <= exactly + 0.5,
-            "seed {seed}: {refused:.2} percent refused, {exactly:.2} by one exact bucket"
+            refused <= exactly_refused + 0.5,
+            "seed {seed}: {refused:.2} percent refused, {exactly_refused:.2} by one exact bucket"
         );
     }
 }
 
-/// Guards against more operations than a customer may have run while it sends many times its usual.
+/// Guards against running more than the limit, or much less, while a customer sends many times its usual load.
 #[test_case(9, 9, 200)]
 #[test_case(68, 32, 200)]
 #[test_case(68, 32, 5)]
@@ -69,52 +69,58 @@
         fleet.run(10 * S, per_s as f64 * USUAL);
         let before = fleet.ran.len();
         fleet.run(10 * S, per_s as f64 * USUAL * HOT);
-        let most = fullest_window(&fleet, per_s, per_s);
-        assert!(most <= 1.0, "seed {seed}: {most:.3} of what is allowed");
+        let fullest = fullest_window(&fleet, per_s, per_s);
+        assert!(fullest <= 1.0, "seed {seed}: {fullest:.3} of what is allowed");
         let ran = (fleet.ran.len() - before) as f64;
-        let due = per_s as f64 * 10.0;
-        assert!(ran >= 0.9 * due, "seed {seed}: only {ran} of {due} ran");
+        let permitted = per_s as f64 * 10.0;
+        assert!(ran >= 0.9 * permitted, "seed {seed}: only {ran} of {permitted} ran");
     }
 }
 
-/// Guards against two sides of a cut, or owners that follow each other, that grant more together than the limit.
-#[test_case(&[(5, Event::Cut { percent: 25 }), (11, Event::Heal)]; "a data centre is cut off")]
+/// Guards against exceeding the limit when both sides of a partition, or successive owners, grant tokens.
+#[test_case(&[(5, Event::Partition { percent: 25 }), (11, Event::Heal)]; "a data centre is partitioned")]
 #[test_case(&[(5, Event::KillOwner), (7, Event::KillOwner), (9, Event::KillOwner)]; "owners die one after the other")]
 #[test_case(&[(4, Event::Leave(0)), (5, Event::Leave(1)), (6, Event::Leave(2)), (7, Event::Leave(3))]; "instances leave in turn")]
 #[test_case(&[(6, Event::PowerLoss)]; "all lose power")]
-#[test_case(&[(5, Event::Cut { percent: 25 }), (7, Event::KillOwner), (9, Event::Heal), (10, Event::PowerLoss)]; "a cut, a death and a power loss")]
-fn a_hot_customer_is_kept_to_its_limit_through_trouble(events: &[(u64, Event)]) {
+#[test_case(&[(5, Event::Partition { percent: 25 }), (7, Event::KillOwner), (9, Event::Heal), (10, Event::PowerLoss)]; "a partition, a death and a power loss")]
+fn a_hot_customer_is_kept_to_its_limit_through_failures(events: &[(u64, Event)]) {
     for (seed, per_s) in (1..=6).flat_map(|seed| [(seed, 5), (seed, 40), (seed, 200)]) {
-        // It sends much all the while, or begins to before, at and after the first event.
+        // The high load starts at once, or before, at or after the first event.
         for usual_for in [0, 3, 5, 7] {
             let mut fleet = Fleet::new(68, 32, seed, Policy::Leased);
             fleet.set_limit(per_s, per_s);
-            fleet.plan(events);
+            fleet.schedule(events);
             fleet.run(usual_for * S, per_s as f64 * USUAL);
             fleet.run((16 - usual_for) * S, per_s as f64 * USUAL * HOT);
-            let most = fullest_window(&fleet, per_s, per_s);
-            assert!(most <= 1.0, "seed {seed}, {per_s} a second: {most:.3} of what is allowed");
+            let fullest = fullest_window(&fleet, per_s, per_s);
+            assert!(
+                fullest <= 1.0,
+                "seed {seed}, {per_s} a second: {fullest:.3} of what is allowed"
+            );
         }
     }
 }
 
-/// Guards against refusing a customer that keeps to its limit for long, since whoever counts for it is gone.
+/// Guards against refusing a customer below its limit for long after the owner of its quota is gone.
 #[test_case(&[(5, Event::KillOwner)], 12.0; "its owner dies")]
 #[test_case(&[(4, Event::Leave(0)), (5, Event::Leave(1)), (6, Event::Leave(2)), (7, Event::Leave(3))], 2.0; "instances leave in turn")]
-fn a_customer_below_its_limit_is_hardly_refused_in_trouble(events: &[(u64, Event)], percent: f64) {
+fn a_customer_below_its_limit_is_rarely_refused_during_failures(
+    events: &[(u64, Event)],
+    percent: f64,
+) {
     for seed in 1..=6 {
         let mut fleet = Fleet::new(68, 32, seed, Policy::Leased);
         fleet.set_limit(100, 100);
-        fleet.plan(events);
+        fleet.schedule(events);
         fleet.run(16 * S, 100.0 * USUAL);
         let refused = refused_percent(&fleet);
         assert!(refused <= percent, "seed {seed}: {refused:.2} percent refused");
     }
 }
 
-/// Guards against a lower limit that binds late.
+/// Guards against a lowered limit that takes effect late.
 #[test]
-fn a_far_lower_limit_binds_within_a_window() {
+fn a_much_lower_limit_takes_effect_within_a_window() {
     for seed in 1..=5 {
         let mut fleet = Fleet::new(68, 32, seed, Policy::Leased);
         fleet.set_limit(200, 200);
@@ -123,14 +129,14 @@
         fleet.run(S, 125.0);
         fleet.ran.clear();
         fleet.run(10 * S, 125.0);
-        let most = fullest_window(&fleet, 20, 20);
-        assert!(most <= 1.0, "seed {seed}: {most:.3} of what is allowed");
+        let fullest = fullest_window(&fleet, 20, 20);
+        assert!(fullest <= 1.0, "seed {seed}: {fullest:.3} of what is allowed");
     }
 }
 
-/// Compares leasing with an even share for each instance, on the same plays.
+/// Guards against refusing more operations below the limit than with an even share for each instance.
 ///
-/// Prints what is refused below the limit; even shares refuse a good part of what a small customer may have run.
+/// Prints the percentages of both policies.
 #[test]
 fn leasing_refuses_less_below_the_limit_than_even_shares() {
     for (per_s, skew) in [(5, 1.0), (40, 1.0), (200, 1.0), (40, 8.0)] {
--- a/crates/gullspar_customer/tests/support/mod.rs
+++ b/crates/gullspar_customer/tests/support/mod.rs
@@ -17,51 +17,52 @@
 pub const MS: u64 = 1000;
 pub const S: u64 = 1000 * MS;
 
-/// The way between two instances, and how long a question may stay unanswered.
+/// Network delay between two instances, and how long to wait for an answer to a token request.
 const DELAY: u64 = 2 * MS;
-const ASK_WITHIN: u64 = 60 * MS;
-const TRIES: u32 = 2;
+const ANSWER_TIMEOUT: u64 = 60 * MS;
+const MAX_TRIES: u32 = 2;
 
-/// How long instances take to learn of a death or a cut, and of one that leaves or starts.
-const DEATH_KNOWN: (u64, u64) = (700 * MS, 1500 * MS);
-const NEWS_KNOWN: (u64, u64) = (20 * MS, 400 * MS);
+/// Shortest and longest time until instances detect a death or a partition, and until they learn that one leaves or
+/// starts.
+const FAILURE_DETECTION: (u64, u64) = (700 * MS, 1500 * MS);
+const UPDATE_PROPAGATION: (u64, u64) = (20 * MS, 400 * MS);
 
-/// How long all are down after a power loss.
-const DOWN: u64 = 700 * MS;
+/// How long all instances are down after a power loss.
+const OUTAGE: u64 = 700 * MS;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
     Leased,
-    /// Each home has an even part of the limit.
+    /// Each home has an even share of the limit.
     EvenShares,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// The first instances, in percent, are cut off from the others.
-    Cut {
+    /// The given percentage of instances, counted from the first, is partitioned from the others.
+    Partition {
         percent: usize,
     },
     Heal,
-    /// The instance that most take for the owner dies; another takes its place at once.
+    /// The owner, as seen by the first home, dies and doesn't restart.
     KillOwner,
-    /// An instance leaves, and is back a second later.
+    /// An instance leaves, and returns a second later.
     Leave(usize),
     PowerLoss,
 }
 
-struct Node {
+struct Instance {
     side: u8,
     is_up: bool,
-    /// Whom it takes for members, by number.
+    /// Which instances it considers members, by number.
     members: Vec<bool>,
     changed_at: u64,
     quota: OwnedQuotas,
     leased: LeasedTokens,
-    even: f64,
+    even_tokens: f64,
     waiting: VecDeque<Waiting>,
     asked_at: Option<u64>,
-    is_unfunded: bool,
+    is_without_grants: bool,
 }
 
 struct Waiting {
@@ -70,14 +71,14 @@
 }
 
 enum Message {
-    Ask { to: usize, from: usize, wanted: u32, is_forwarded: bool },
+    Request { to: usize, from: usize, wanted: u32, is_forwarded: bool },
     Grant { to: usize, grant: TokenGrant },
     Handover { to: usize, thousandths: i64 },
-    Learn { at: usize, about: usize, is_member: bool },
+    MemberUpdate { at: usize, about: usize, is_member: bool },
 }
 
 pub struct Fleet {
-    nodes: Vec<Node>,
+    instances: Vec<Instance>,
     homes: Vec<usize>,
     weights: Vec<f64>,
     limit: RateLimit,
@@ -88,11 +89,12 @@
     sent: u64,
     events: BTreeMap<u64, Vec<Event>>,
     down_until: u64,
-    /// When operations ran.
+    /// The times at which operations ran.
     pub ran: Vec<u64>,
     pub refused: usize,
-    /// What one exact bucket for the whole fleet holds, and what it refuses.
+    /// Level of one exact bucket for the whole fleet.
     exact: f64,
+    /// Operations that the exact bucket refuses.
     pub exactly_refused: usize,
 }
 
@@ -103,17 +105,17 @@
 impl Fleet {
     pub fn new(size: usize, homes: usize, seed: u64, policy: Policy) -> Fleet {
         let mut random = Random::new(seed);
-        let nodes = (0..size).map(|_| Node::new(size, 0)).collect();
+        let instances = (0..size).map(|_| Instance::new(size, 0)).collect();
         let mut numbers: Vec<usize> = (0..size).collect();
         numbers.sort_by_cached_key(|_| random.next());
         numbers.truncate(homes);
         Fleet {
-            nodes,
+            instances,
             weights: vec![1.0; homes],
             homes: numbers,
             limit: RateLimit { thousandths_per_s: 0, burst: 0 },
             policy,
-            // Long after the start.
+            // Later than the settle period after the start.
             now: 60 * S,
             random,
             messages: BTreeMap::new(),
@@ -127,7 +129,7 @@
         }
     }
 
-    /// One home gets as much as `skew` others.
+    /// Sets the load weight of the first home to `skew` eighths of the number of homes; all others have weight 1.
     pub fn skewed(mut self, skew: f64) -> Fleet {
         self.weights[0] = skew * self.weights.len() as f64 / 8.0;
         self
@@ -138,30 +140,30 @@
         self.exact = burst as f64;
     }
 
-    /// Plans events at seconds from now.
-    pub fn plan(&mut self, events: &[(u64, Event)]) {
+    /// Schedules events, each at a number of seconds from now.
+    pub fn schedule(&mut self, events: &[(u64, Event)]) {
         for (second, event) in events {
             self.events.entry(self.now + second * S).or_default().push(*event);
         }
     }
 
-    /// Runs for `time` with `per_s` operations a second.
+    /// Runs for `time` with `per_s` operations per second.
     pub fn run(&mut self, time: u64, per_s: f64) {
         let end = self.now + time;
-        let mut next = self.now + self.random.until_next(per_s);
+        let mut next = self.now + self.random.time_to_next(per_s);
         while self.now < end {
             self.now += MS;
             let refill = self.limit.per_s() * MS as f64 / S as f64;
             self.exact = (self.exact + refill).min(self.limit.burst as f64);
             if let Some(events) = self.events.remove(&self.now) {
-                events.into_iter().for_each(|it| self.happen(it));
+                events.into_iter().for_each(|it| self.apply_event(it));
             }
             self.deliver();
-            self.give_up_waiting();
+            self.expire_waiting();
             while next <= self.now {
                 let home = self.homes[self.random.choose(&self.weights)];
-                self.operate(home);
-                next += self.random.until_next(per_s);
+                self.run_operation(home);
+                next += self.random.time_to_next(per_s);
             }
         }
     }
@@ -170,65 +172,65 @@
         BootInstant(self.now)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         match event {
-            Event::Cut { percent } => {
-                let behind = self.nodes.len() * percent / 100;
-                self.nodes[..behind].iter_mut().for_each(|it| it.side = 1);
-                self.learn_of_sides(DEATH_KNOWN);
+            Event::Partition { percent } => {
+                let partitioned = self.instances.len() * percent / 100;
+                self.instances[..partitioned].iter_mut().for_each(|it| it.side = 1);
+                self.schedule_side_updates(FAILURE_DETECTION);
             }
             Event::Heal => {
-                self.nodes.iter_mut().for_each(|it| it.side = 0);
-                self.learn_of_sides(NEWS_KNOWN);
+                self.instances.iter_mut().for_each(|it| it.side = 0);
+                self.schedule_side_updates(UPDATE_PROPAGATION);
             }
             Event::KillOwner => {
                 let owner = self.owner_for(self.homes[0]);
-                self.begin_anew(owner);
-                self.nodes[owner].is_up = false;
-                self.tell_all(owner, false, DEATH_KNOWN);
+                self.restart(owner);
+                self.instances[owner].is_up = false;
+                self.broadcast_update(owner, false, FAILURE_DETECTION);
             }
             Event::Leave(number) => {
-                self.nodes[number].members[number] = false;
+                self.instances[number].members[number] = false;
                 self.hand_over_quota(number);
-                self.tell_all(number, false, NEWS_KNOWN);
-                let back = (S + NEWS_KNOWN.0, S + NEWS_KNOWN.1);
-                self.tell_all(number, true, back);
+                self.broadcast_update(number, false, UPDATE_PROPAGATION);
+                let back = (S + UPDATE_PROPAGATION.0, S + UPDATE_PROPAGATION.1);
+                self.broadcast_update(number, true, back);
                 self.send_at(
                     self.now + S,
-                    Message::Learn { at: number, about: number, is_member: true },
+                    Message::MemberUpdate { at: number, about: number, is_member: true },
                 );
             }
             Event::PowerLoss => {
-                self.down_until = self.now + DOWN;
-                (0..self.nodes.len()).for_each(|it| self.begin_anew(it));
+                self.down_until = self.now + OUTAGE;
+                (0..self.instances.len()).for_each(|it| self.restart(it));
                 self.messages.clear();
             }
         }
     }
 
-    fn begin_anew(&mut self, number: usize) {
-        let size = self.nodes.len();
-        let (side, is_up) = (self.nodes[number].side, self.nodes[number].is_up);
+    fn restart(&mut self, number: usize) {
+        let size = self.instances.len();
+        let (side, is_up) = (self.instances[number].side, self.instances[number].is_up);
         let started = self.now.max(self.down_until);
-        self.nodes[number] = Node { side, is_up, ..Node::new(size, started) };
+        self.instances[number] = Instance { side, is_up, ..Instance::new(size, started) };
     }
 
-    fn learn_of_sides(&mut self, within: (u64, u64)) {
-        for at in 0..self.nodes.len() {
-            for about in 0..self.nodes.len() {
-                let together = self.nodes[at].side == self.nodes[about].side;
-                if self.nodes[about].is_up && self.nodes[at].members[about] != together {
-                    let when = self.now + self.random.between(within);
-                    self.send_at(when, Message::Learn { at, about, is_member: together });
+    fn schedule_side_updates(&mut self, delay: (u64, u64)) {
+        for at in 0..self.instances.len() {
+            for about in 0..self.instances.len() {
+                let together = self.instances[at].side == self.instances[about].side;
+                if self.instances[about].is_up && self.instances[at].members[about] != together {
+                    let when = self.now + self.random.between(delay);
+                    self.send_at(when, Message::MemberUpdate { at, about, is_member: together });
                 }
             }
         }
     }
 
-    fn tell_all(&mut self, about: usize, is_member: bool, within: (u64, u64)) {
-        for at in (0..self.nodes.len()).filter(|it| *it != about) {
-            let when = self.now + self.random.between(within);
-            self.send_at(when, Message::Learn { at, about, is_member });
+    fn broadcast_update(&mut self, about: usize, is_member: bool, delay: (u64, u64)) {
+        for at in (0..self.instances.len()).filter(|it| *it != about) {
+            let when = self.now + self.random.between(delay);
+            self.send_at(when, Message::MemberUpdate { at, about, is_member });
         }
     }
 
@@ -238,7 +240,7 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        if self.nodes[from].side == self.nodes[to].side && self.nodes[to].is_up {
+        if self.instances[from].side == self.instances[to].side && self.instances[to].is_up {
             self.send_at(self.now + DELAY, message);
         }
     }
@@ -249,18 +251,18 @@
                 return;
             }
             match entry.remove() {
-                Message::Ask { to, from, wanted, is_forwarded } => {
+                Message::Request { to, from, wanted, is_forwarded } => {
                     self.grant(to, from, wanted, is_forwarded);
                 }
-                Message::Grant { to, grant } => self.take_grant(to, &grant),
+                Message::Grant { to, grant } => self.apply_grant(to, &grant),
                 Message::Handover { to, thousandths } => {
                     let handover = QuotaHandover { customer: customer(), thousandths };
                     let (limit, now) = (self.limit, self.boot());
-                    self.nodes[to].quota.apply_handover(&handover, limit, now);
+                    self.instances[to].quota.apply_handover(&handover, limit, now);
                 }
-                Message::Learn { at, about, is_member } => {
-                    self.nodes[at].members[about] = is_member;
-                    self.nodes[at].changed_at = self.now;
+                Message::MemberUpdate { at, about, is_member } => {
+                    self.instances[at].members[about] = is_member;
+                    self.instances[at].changed_at = self.now;
                     self.hand_over_quota(at);
                 }
             }
@@ -269,23 +271,23 @@
 
     fn hand_over_quota(&mut self, at: usize) {
         let owner = self.owner_for(at);
-        let closed = self.nodes[at].quota.close(|_| owner == at);
+        let closed = self.instances[at].quota.close(|_| owner == at);
         for handover in closed {
             let message = Message::Handover { to: owner, thousandths: handover.thousandths };
             self.send(at, owner, message);
         }
     }
 
-    /// The instance that `at` takes for the owner: the lowest after a shuffle of numbers.
+    /// The owner as seen by `at`: the member with the lowest hash of its number.
     fn owner_for(&self, at: usize) -> usize {
-        let members = &self.nodes[at].members;
+        let members = &self.instances[at].members;
         let rank = |it: &usize| (*it as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
         (0..members.len()).filter(|it| members[*it]).min_by_key(rank).unwrap_or(at)
     }
 
-    fn part(&self, at: usize) -> f64 {
-        let members = &self.nodes[at].members;
-        // Behind a cut, whole data centres are missing; single instances are not.
+    fn fleet_fraction(&self, at: usize) -> f64 {
+        let members = &self.instances[at].members;
+        // In a partition, whole data centres are missing; a few missing instances have merely failed.
         let missing = members.iter().filter(|it| !**it).count() as f64 / members.len() as f64;
         if missing >= 0.2 { 1.0 - missing } else { 1.0 }
     }
@@ -294,7 +296,11 @@
         let owner = self.owner_for(at);
         if owner != at {
             if !is_forwarded {
-                self.send(at, owner, Message::Ask { to: owner, from, wanted, is_forwarded: true });
+                self.send(
+                    at,
+                    owner,
+                    Message::Request { to: owner, from, wanted, is_forwarded: true },
+                );
             }
             return;
         }
@@ -304,87 +310,91 @@
             reply_to: ([127, 0, 0, 1], 1).into(),
             is_forwarded,
         };
-        let (part, now, limit) = (self.part(at), self.boot(), self.limit);
-        let since = BootInstant(self.nodes[at].changed_at);
-        let grant = self.nodes[at].quota.grant(&req, limit, since, part, now);
+        let (fleet_fraction, now, limit) = (self.fleet_fraction(at), self.boot(), self.limit);
+        let since = BootInstant(self.instances[at].changed_at);
+        let grant = self.instances[at].quota.grant(&req, limit, since, fleet_fraction, now);
         if from == at {
-            self.take_grant(at, &grant);
+            self.apply_grant(at, &grant);
         } else {
             self.send(at, from, Message::Grant { to: from, grant });
         }
     }
 
-    fn take_grant(&mut self, at: usize, grant: &TokenGrant) {
+    fn apply_grant(&mut self, at: usize, grant: &TokenGrant) {
         let now = self.boot();
-        let node = &mut self.nodes[at];
-        node.leased.apply_grant(grant, now);
-        node.is_unfunded = grant.is_settling;
-        node.asked_at = None;
-        let waiting = std::mem::take(&mut node.waiting);
-        waiting.into_iter().for_each(|it| self.try_again(at, it.tries));
+        let instance = &mut self.instances[at];
+        instance.leased.apply_grant(grant, now);
+        instance.is_without_grants = grant.is_settling;
+        instance.asked_at = None;
+        let waiting = std::mem::take(&mut instance.waiting);
+        waiting.into_iter().for_each(|it| self.attempt(at, it.tries));
     }
 
-    fn give_up_waiting(&mut self) {
+    fn expire_waiting(&mut self) {
         for at in self.homes.clone() {
-            while self.nodes[at].waiting.front().is_some_and(|it| it.until <= self.now) {
-                let Some(waiting) = self.nodes[at].waiting.pop_front() else { break };
-                self.nodes[at].asked_at = None;
-                self.try_again(at, waiting.tries + 1);
+            while self.instances[at].waiting.front().is_some_and(|it| it.until <= self.now) {
+                let Some(waiting) = self.instances[at].waiting.pop_front() else { break };
+                self.instances[at].asked_at = None;
+                self.attempt(at, waiting.tries + 1);
             }
         }
     }
 
-    fn operate(&mut self, home: usize) {
+    fn run_operation(&mut self, home: usize) {
         let passes = self.exact >= 1.0;
         self.exact -= if passes { 1.0 } else { 0.0 };
         self.exactly_refused += usize::from(!passes);
-        if self.now < self.down_until || !self.nodes[home].is_up {
+        if self.now < self.down_until || !self.instances[home].is_up {
             return;
         }
         if self.policy == Policy::EvenShares {
             let share = self.limit.per_s() / self.homes.len() as f64;
             let burst = (self.limit.burst as f64 / self.homes.len() as f64).max(1.0);
-            let node = &mut self.nodes[home];
-            let passed = (self.now - node.changed_at) as f64 / S as f64;
-            node.changed_at = self.now;
-            node.even = (node.even + passed * share).min(burst);
-            let runs = node.even >= 1.0;
-            node.even -= if runs { 1.0 } else { 0.0 };
-            return self.note(runs);
+            let instance = &mut self.instances[home];
+            let passed = (self.now - instance.changed_at) as f64 / S as f64;
+            instance.changed_at = self.now;
+            instance.even_tokens = (instance.even_tokens + passed * share).min(burst);
+            let runs = instance.even_tokens >= 1.0;
+            instance.even_tokens -= if runs { 1.0 } else { 0.0 };
+            return self.record(runs);
         }
-        self.try_again(home, 0);
+        self.attempt(home, 0);
     }
 
-    fn try_again(&mut self, home: usize, tries: u32) {
+    fn attempt(&mut self, home: usize, tries: u32) {
         let now = self.boot();
-        match self.nodes[home].leased.consume(now) {
+        match self.instances[home].leased.consume(now) {
             ConsumeOutcome::Granted => {
-                self.note(true);
-                if self.nodes[home].leased.is_running_low(now) {
-                    self.ask(home);
+                self.record(true);
+                if self.instances[home].leased.is_running_low(now) {
+                    self.request_tokens(home);
                 }
             }
-            ConsumeOutcome::Exhausted { .. } => self.note(false),
-            ConsumeOutcome::NeedsGrant if self.nodes[home].is_unfunded || tries == TRIES => {
-                self.nodes[home].is_unfunded = true;
-                self.ask(home);
-                let runs = self.nodes[home].leased.consume_in_grace_period(now);
-                self.note(runs);
+            ConsumeOutcome::Exhausted { .. } => self.record(false),
+            ConsumeOutcome::NeedsGrant
+                if self.instances[home].is_without_grants || tries == MAX_TRIES =>
+            {
+                self.instances[home].is_without_grants = true;
+                self.request_tokens(home);
+                let runs = self.instances[home].leased.consume_in_grace_period(now);
+                self.record(runs);
             }
             ConsumeOutcome::NeedsGrant => {
-                self.nodes[home].waiting.push_back(Waiting { until: self.now + ASK_WITHIN, tries });
-                self.ask(home);
+                self.instances[home]
+                    .waiting
+                    .push_back(Waiting { until: self.now + ANSWER_TIMEOUT, tries });
+                self.request_tokens(home);
             }
         }
     }
 
-    fn ask(&mut self, home: usize) {
-        if self.nodes[home].asked_at.is_some_and(|at| self.now < at + ASK_WITHIN) {
+    fn request_tokens(&mut self, home: usize) {
+        if self.instances[home].asked_at.is_some_and(|at| self.now < at + ANSWER_TIMEOUT) {
             return;
         }
-        self.nodes[home].asked_at = Some(self.now);
-        let waiting = self.nodes[home].waiting.len().max(1) as u32;
-        let wanted = self.nodes[home].leased.tokens_to_request(waiting, self.boot());
+        self.instances[home].asked_at = Some(self.now);
+        let waiting = self.instances[home].waiting.len().max(1) as u32;
+        let wanted = self.instances[home].leased.tokens_to_request(waiting, self.boot());
         let owner = self.owner_for(home);
         if owner == home {
             self.grant(home, home, wanted, false);
@@ -392,12 +402,12 @@
             self.send(
                 home,
                 owner,
-                Message::Ask { to: owner, from: home, wanted, is_forwarded: false },
+                Message::Request { to: owner, from: home, wanted, is_forwarded: false },
             );
         }
     }
 
-    fn note(&mut self, runs: bool) {
+    fn record(&mut self, runs: bool) {
         if runs {
             self.ran.push(self.now);
         } else {
@@ -406,19 +416,19 @@
     }
 }
 
-impl Node {
-    fn new(size: usize, started: u64) -> Node {
-        Node {
+impl Instance {
+    fn new(size: usize, started: u64) -> Instance {
+        Instance {
             side: 0,
             is_up: true,
             members: vec![true; size],
             changed_at: started,
             quota: OwnedQuotas::default(),
             leased: LeasedTokens::new(BootInstant(started).plus(Duration::ZERO)),
-            even: 1.0,
+            even_tokens: 1.0,
             waiting: VecDeque::new(),
             asked_at: None,
-            is_unfunded: false,
+            is_without_grants: false,
         }
     }
 }
--- a/crates/gullspar_customer/tests/support/random.rs
+++ b/crates/gullspar_customer/tests/support/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers that follow from a seed.
+//! Deterministic random numbers from a seed.
 
 use super::S;
 
@@ -20,16 +20,16 @@
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Time until the next of independent events.
-    pub fn until_next(&mut self, per_s: f64) -> u64 {
+    /// Time until the next event of a Poisson process with the rate `per_s`.
+    pub fn time_to_next(&mut self, per_s: f64) -> u64 {
         (-(1.0 - self.uniform()).ln() / per_s * S as f64) as u64
     }
 
-    pub fn between(&mut self, (least, most): (u64, u64)) -> u64 {
-        least + (self.uniform() * (most - least) as f64) as u64
+    pub fn between(&mut self, (min, max): (u64, u64)) -> u64 {
+        min + (self.uniform() * (max - min) as f64) as u64
     }
 
-    /// An index, each as likely as its weight.
+    /// An index, with a probability proportional to its weight.
     pub fn choose(&mut self, weights: &[f64]) -> usize {
         let mut at = self.uniform() * weights.iter().sum::<f64>();
         for (index, weight) in weights.iter().enumerate() {
