--- a/crates/gullspar_customer/tests/support/mod.rs
+++ b/crates/gullspar_customer/tests/support/mod.rs
@@ -17,8 +17,10 @@
 pub const MS: u64 = 1000;
 pub const S: u64 = 1000 * MS;
 
-/// Network delay between two instances, and how long to wait for an answer to a token request.
+/// Network delay between two instances.
 const DELAY: u64 = 2 * MS;
+
+/// How long to wait for an answer to a token request, and how often to repeat the request.
 const ANSWER_TIMEOUT: u64 = 60 * MS;
 const MAX_TRIES: u32 = 2;
 
@@ -93,7 +95,7 @@
     pub ran: Vec<u64>,
     pub refused: usize,
     /// Level of one exact bucket for the whole fleet.
-    exact: f64,
+    exact_tokens: f64,
     /// Operations that the exact bucket refuses.
     pub exactly_refused: usize,
 }
@@ -124,7 +126,7 @@
             down_until: 0,
             ran: Vec::new(),
             refused: 0,
-            exact: 0.0,
+            exact_tokens: 0.0,
             exactly_refused: 0,
         }
     }
@@ -137,7 +139,7 @@
 
     pub fn set_limit(&mut self, per_s: u64, burst: u64) {
         self.limit = RateLimit { thousandths_per_s: per_s * 1000, burst };
-        self.exact = burst as f64;
+        self.exact_tokens = burst as f64;
     }
 
     /// Schedules events, each at a number of seconds from now.
@@ -154,7 +156,7 @@
         while self.now < end {
             self.now += MS;
             let refill = self.limit.per_s() * MS as f64 / S as f64;
-            self.exact = (self.exact + refill).min(self.limit.burst as f64);
+            self.exact_tokens = (self.exact_tokens + refill).min(self.limit.burst as f64);
             if let Some(events) = self.events.remove(&self.now) {
                 events.into_iter().for_each(|it| self.apply_event(it));
             }
@@ -341,8 +343,8 @@
     }
 
     fn run_operation(&mut self, home: usize) {
-        let passes = self.exact >= 1.0;
-        self.exact -= if passes { 1.0 } else { 0.0 };
+        let passes = self.exact_tokens >= 1.0;
+        self.exact_tokens -= if passes { 1.0 } else { 0.0 };
         self.exactly_refused += usize::from(!passes);
         if self.now < self.down_until || !self.instances[home].is_up {
             return;
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -44,8 +44,8 @@
 
 impl ReadAttempt {
     /// When to check next whether another attempt is due.
-    fn next_check_at(&self, patience: Duration) -> Instant {
-        self.sent_at.get().unwrap_or(self.checked_at.get()) + patience
+    fn next_check_at(&self, wait_limit: Duration) -> Instant {
+        self.sent_at.get().unwrap_or(self.checked_at.get()) + wait_limit
     }
 }
 
@@ -209,11 +209,11 @@
         let max_age = req.freshness.max_age()?.saturating_sub(AGE_MARGIN);
         let now = self.borders.clock.boot_now();
         let sample = group.reading_within(now, max_age)?;
-        let own = match req.freshness {
+        let own_commit = match req.freshness {
             Freshness::OwnWrites { .. } => req.own_commit,
             Freshness::Latest | Freshness::MaxAge { .. } => None,
         };
-        let point = own.map_or(sample.point, |it| it.max(sample.point));
+        let point = own_commit.map_or(sample.point, |it| it.max(sample.point));
         Some(RequiredPoint { point, sample_age: now.since(sample.requested_at) })
     }
 
--- a/crates/gullspar_direct/src/targets/connection_pool.rs
+++ b/crates/gullspar_direct/src/targets/connection_pool.rs
@@ -72,7 +72,7 @@
     is_returned: bool,
 }
 
-/// Counts a connection as being opened until it is dropped.
+/// Guard that counts a connection attempt until it is dropped.
 struct Dial<'a> {
     pool: &'a ConnectionPool,
 }
--- a/crates/gullspar_direct/src/targets/idle_connections.rs
+++ b/crates/gullspar_direct/src/targets/idle_connections.rs
@@ -65,8 +65,8 @@
         self.list.borrow().len()
     }
 
-    /// Closes connections that have been idle for [`SURPLUS_IDLE_TIMEOUT`] and whose customer has a newer one, or that
-    /// exceed `kept` in number. Returns how many were closed.
+    /// Closes connections that have been idle for [`SURPLUS_IDLE_TIMEOUT`] and are surplus: their customer has a newer
+    /// one, or more than `kept` connections are idle. Returns how many were closed.
     pub(crate) fn close_surplus(&self, kept: usize, now: Instant) -> u32 {
         let mut list = self.list.borrow_mut();
         let before = list.len();
--- a/crates/gullspar_direct/src/targets/target.rs
+++ b/crates/gullspar_direct/src/targets/target.rs
@@ -114,7 +114,7 @@
         let requested_at = self.clock.now();
         let permit = self.admission.enter_by(req.priority, req.objective, req.deadline).await?;
         self.stats.place(self.clock.now().saturating_duration_since(requested_at));
-        // The wait may have lasted until after the target closed.
+        // The target may have stopped taking new work during the wait.
         if self.is_closed_to_new_work() { Err(NotRun::NoPrimary) } else { Ok(permit) }
     }
 
@@ -125,8 +125,8 @@
 
     /// Whether the target has been leaving for so long that it gets no new work.
     ///
-    /// A leader that leaves serves until it is replaced. Without a replacement it would get work until it stops, and
-    /// statements running then would be lost. Refused ones are reported as not run.
+    /// A leader that leaves serves until it is replaced. If no replacement takes over, statements sent to it would be
+    /// lost when it stops. Refusing them in time lets callers know that they did not run.
     pub(crate) fn is_closed_to_new_work(&self) -> bool {
         self.work_ends_at.get().is_some_and(|at| at <= self.clock.boot_now())
     }
@@ -160,7 +160,7 @@
         self.last_response_at.set(Some(now));
     }
 
-    /// Records a missed check. Returns `true` if the target becomes unresponsive by it.
+    /// Records a missed check. Returns whether the target became unresponsive with this check.
     pub(crate) fn record_missed_check(&self) -> bool {
         self.missed_checks.set(self.missed_checks.get().saturating_add(1));
         self.missed_checks.get() == UNRESPONSIVE_AFTER_MISSES
@@ -185,7 +185,7 @@
         self.last_response_at.get().is_some()
     }
 
-    /// Avoids the target for a short time, after a failure that another target may not have.
+    /// Avoids the target for a short time, after a failure that may be specific to it.
     pub(crate) fn avoid(&self, now: Instant) {
         self.avoid_for(now, AVOID_PERIOD);
     }
--- a/crates/gullspar_direct/src/targets/target_watch.rs
+++ b/crates/gullspar_direct/src/targets/target_watch.rs
@@ -11,13 +11,13 @@
 use crate::groups::group::Group;
 use crate::targets::target::Target;
 
-/// Between two checks of a leader; bounds the time to detect a failure and the age of position samples.
+/// Interval between checks of a leader; bounds the time to detect a failure and the age of position samples.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Between two checks of a replica.
+/// Interval between checks of a replica.
 const REPLICA_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Between two checks while the group has no leader or the target missed its last check.
+/// Interval between checks while the group has no leader or the target missed its last check.
 const FAILING_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
 /// How long a target may take to answer a check; answering needs no slot.
