--- a/crates/gullspar_direct/src/groups/candidate_selection.rs
+++ b/crates/gullspar_direct/src/groups/candidate_selection.rs
@@ -25,7 +25,7 @@
         began: Instant,
         previous: Option<&Claim>,
     ) -> Option<Candidate> {
-        let is_responsive = |it: &Rc<Target>| !it.is_dark() && it.was_heard();
+        let is_responsive = |it: &Rc<Target>| !it.is_unresponsive() && it.has_responded();
         let targets: Vec<Rc<Target>> =
             self.group.targets().into_iter().filter(is_responsive).collect();
         let queries = targets.iter().map(|it| self.query_candidate(it));
@@ -84,8 +84,8 @@
 /// and `Some(None)` if its answer has no point, for example when it is busy.
 async fn received_point(target: &Target, deadline: Instant) -> Option<Option<LogPoint>> {
     // Uses an existing connection: a target at its connection limit refuses a new one.
-    let mut lease = target.pool.take_for_check(&target.spec(), true, deadline).await?.ok()?;
+    let mut lease = target.pool.acquire_for_check(&target.spec(), true, deadline).await?.ok()?;
     let answers = lease.connection()?.exchange(vec![TargetCommand::ReceivedPoint]).await.ok()?;
-    lease.give_back();
+    lease.return_to_pool();
     Some(answers.first()?.point)
 }
--- a/crates/gullspar_direct/src/groups/failover.rs
+++ b/crates/gullspar_direct/src/groups/failover.rs
@@ -84,7 +84,7 @@
         let Some(leader) = leader else {
             let timed_out = now >= self.group.leaderless_since() + LEADERLESS_TIMEOUT;
             let is_reachable =
-                self.group.targets().iter().any(|it| it.was_heard() && !it.is_dark());
+                self.group.targets().iter().any(|it| it.has_responded() && !it.is_unresponsive());
             let boot_now = self.borders.clock.boot_now();
             let has_leader = self.peers.views.others_see_leader(&self.group.name, boot_now);
             return (timed_out && is_reachable && !has_leader && self.is_agreed(None))
@@ -92,7 +92,7 @@
         };
         match self.group.target(&leader.member) {
             None => Some(FailoverCause::Removed),
-            Some(target) if target.is_dark() => {
+            Some(target) if target.is_unresponsive() => {
                 self.is_agreed(Some(&leader.member)).then_some(FailoverCause::Unresponsive)
             }
             Some(target) if target.spec().leaving => Some(FailoverCause::Leaving),
--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -11,7 +11,7 @@
 
 use crate::groups::failover_timing;
 use crate::targets::target::Target;
-use crate::{ClaimTracker, GroupView, LeaderHealth, Reading, Readings};
+use crate::{ClaimTracker, GroupView, LeaderHealth, PositionSample, PositionSamples};
 
 /// The leader of a group, as the member itself reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     led_since: Cell<Option<BootInstant>>,
     /// Since when this instance has had no responsive leader, as of the last refresh.
     leader_unavailable_since: Cell<Option<Instant>>,
-    position_samples: RefCell<Readings>,
+    position_samples: RefCell<PositionSamples>,
     claims: RefCell<ClaimTracker>,
     /// How long a replica typically needs to receive a commit, in microseconds.
     typical_lag_us: Cell<u64>,
@@ -97,7 +97,7 @@
     /// The recent mean duration of a statement on the fastest of the group's targets; `None` if none has
     /// answered a statement yet.
     pub(crate) fn fastest_mean(&self) -> Option<Duration> {
-        self.targets.borrow().values().filter_map(|it| it.mean()).min()
+        self.targets.borrow().values().filter_map(|it| it.mean_duration()).min()
     }
 
     /// The current leader.
@@ -112,12 +112,12 @@
     /// The leader's target, if it is known and responsive.
     pub(crate) fn responsive_leader(&self) -> Option<Rc<Target>> {
         let member = self.leader.borrow().as_ref()?.member.clone();
-        self.target(&member).filter(|it| !it.is_dark())
+        self.target(&member).filter(|it| !it.is_unresponsive())
     }
 
     /// The leader's target, if it accepts new work.
     pub(crate) fn serving_leader(&self) -> Option<Rc<Target>> {
-        self.responsive_leader().filter(|it| !it.is_past_leaving())
+        self.responsive_leader().filter(|it| !it.is_closed_to_new_work())
     }
 
     /// The highest term in which a leader answered.
@@ -194,18 +194,18 @@
     }
 
     /// Records that `member`, asked at `begun`, answered as the leader with the end of its log at `point`.
-    pub(crate) fn record_leader(&self, member: &MemberName, point: LogPoint, begun: BootInstant) {
+    pub(crate) fn record_leader(&self, member: &MemberName, point: LogPoint, requested_at: BootInstant) {
         if point.term < self.newest_term.get() {
             // A late answer from a leader that has been superseded.
             return;
         }
         self.newest_term.set(point.term);
-        self.position_samples.borrow_mut().add(Reading { begun, point });
+        self.position_samples.borrow_mut().add(PositionSample { requested_at, point });
         let is_unchanged = self.leader.borrow().as_ref().is_some_and(|it| it.member == *member);
         if !is_unchanged {
             log::info!(group = self.name.as_str(), member = member.as_str(), term = point.term.0; "G0706 a group has a new leader");
             *self.leader.borrow_mut() = Some(Leader { member: member.clone(), term: point.term });
-            self.led_since.set(Some(begun));
+            self.led_since.set(Some(requested_at));
             self.notify();
         }
     }
@@ -222,9 +222,9 @@
     }
 
     /// Adds a position that the leader returned with an answer to a request sent at `begun`.
-    pub(crate) fn add_position_sample(&self, point: LogPoint, begun: BootInstant) {
+    pub(crate) fn add_position_sample(&self, point: LogPoint, requested_at: BootInstant) {
         if point.term >= self.newest_term.get() {
-            self.position_samples.borrow_mut().add(Reading { begun, point });
+            self.position_samples.borrow_mut().add(PositionSample { requested_at, point });
         }
     }
 
@@ -234,12 +234,12 @@
         &self,
         now: BootInstant,
         max_age: Duration,
-    ) -> Option<Reading> {
+    ) -> Option<PositionSample> {
         self.position_samples.borrow().oldest_within(now, max_age)
     }
 
     /// The newest position sample of the leader.
-    pub(crate) fn newest_position_sample(&self) -> Option<Reading> {
+    pub(crate) fn newest_position_sample(&self) -> Option<PositionSample> {
         self.position_samples.borrow().newest()
     }
 
@@ -266,7 +266,7 @@
         let leader = self.leader().map(|it| it.member);
         let health = match &leader {
             Some(member) => match self.target(member) {
-                Some(target) if !target.is_dark() => LeaderHealth::Leads,
+                Some(target) if !target.is_unresponsive() => LeaderHealth::Leads,
                 _ => LeaderHealth::Dark,
             },
             None if now < settle_until => LeaderHealth::Unsure,
--- a/crates/gullspar_direct/src/session/request.rs
+++ b/crates/gullspar_direct/src/session/request.rs
@@ -53,7 +53,7 @@
             Body::Text(_) => None,
             Body::Prepared { definition, .. } => Some(definition),
         };
-        let mut commands = connection.prepare_for(&self.values, needed);
+        let mut commands = connection.setup_commands(&self.values, needed);
         commands.push(self.run(connection, at_least));
         commands
     }
--- a/crates/gullspar_direct/src/targets/mod.rs
+++ b/crates/gullspar_direct/src/targets/mod.rs
@@ -1,9 +1,9 @@
-//! Targets as this instance uses them: connections, places, checks, single attempts.
+//! Access to targets from this instance: connections, permits, health checks and single attempts of statements.
 
 pub(crate) mod admission_limit;
 pub(crate) mod attempt;
 pub(crate) mod connection_pool;
-pub(crate) mod dial_pace;
+pub(crate) mod dial_throttle;
 pub(crate) mod idle_connections;
 pub(crate) mod pacing;
 pub(crate) mod pooled_connection;
--- a/crates/gullspar_direct/src/writing/confirmation.rs
+++ b/crates/gullspar_direct/src/writing/confirmation.rs
@@ -129,7 +129,7 @@
         let Some(leader) = group.leader() else { return false };
         let now = self.borders.clock.boot_now();
         let replicas = successor_candidates(group);
-        let views_since = if replicas.iter().any(|it| it.heard_since(started)) {
+        let views_since = if replicas.iter().any(|it| it.has_responded_since(started)) {
             // A replica answers, so the replicas only lag.
             BootInstant::MACHINE_START
         } else if replicas.is_empty() {
@@ -146,7 +146,7 @@
     async fn still_leads(&self, group: &Rc<Group>, commit: &Commit) -> bool {
         let leader = group.responsive_leader().filter(|it| it.member() == commit.leader);
         let Some(leader) = leader else { return false };
-        target_watch::leads(&self.borders, group, &leader).await
+        target_watch::is_leader_now(&self.borders, group, &leader).await
             && group.newest_term() == commit.point.term
             && group.is_leader(&commit.leader)
             // A leader that has restarted meanwhile may lead without the commit.
@@ -191,7 +191,10 @@
 /// The replicas that may become the next leader.
 fn successor_candidates(group: &Group) -> Vec<Rc<Target>> {
     let can_lead = |it: &Rc<Target>| {
-        !group.is_leader(&it.member()) && !it.spec().leaving && !it.is_dark() && it.was_heard()
+        !group.is_leader(&it.member())
+            && !it.spec().leaving
+            && !it.is_unresponsive()
+            && it.has_responded()
     };
     group.targets().into_iter().filter(can_lead).collect()
 }
@@ -199,13 +202,13 @@
 /// Asks the replicas that are not known to have the commit where their logs end.
 fn poll_replicas(borders: &Borders, group: &Rc<Group>, point: LogPoint) {
     for target in successor_candidates(group).into_iter().filter(|it| !has_commit(it, point)) {
-        if target.looking.replace(true) {
+        if target.is_polled.replace(true) {
             continue;
         }
         let (borders, group) = (borders.clone(), Rc::clone(group));
         let task = async move {
             target_watch::check(&borders, &group, &target).await;
-            target.looking.set(false);
+            target.is_polled.set(false);
             group.notify_progress();
         };
         compio::runtime::spawn(task).detach();
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -11,11 +11,11 @@
 use gullspar_statement::{Answer, Failure, FailureCode, TargetCommand, TransactionStatus};
 
 use crate::groups::group::Group;
-use crate::reading::read_path::Place;
+use crate::reading::read_path::SelectedTarget;
 use crate::session::refusal;
 use crate::session::request::Request;
 use crate::session::trace::Trace;
-use crate::targets::attempt::{End, Surroundings};
+use crate::targets::attempt::{AttemptContext, AttemptOutcome};
 use crate::targets::connection_pool::Lease;
 use crate::{Freshness, Proxy};
 
@@ -27,7 +27,7 @@
 
 /// The connection that a transaction is open on.
 struct OpenConnection {
-    context: Surroundings,
+    context: AttemptContext,
     lease: Lease,
 }
 
@@ -120,7 +120,7 @@
         let succeeded = answer.result.is_ok();
         if succeeded {
             if let Some(connection) = self.connection.take() {
-                connection.lease.give_back();
+                connection.lease.return_to_pool();
             }
         } else {
             self.roll_back();
@@ -175,13 +175,13 @@
     /// Fails the transaction after its connection was lost during a statement.
     ///
     /// The outcome is unknown only if a commit was sent and something was written; otherwise it is rolled back.
-    fn fail_lost(&mut self, req: &Request, end: &End) -> Answer {
+    fn fail_lost(&mut self, req: &Request, end: &AttemptOutcome) -> Answer {
         log::info!(request = req.id.as_str(), group = self.group.name.as_str(), wrote = self.wrote; "G0725 a transaction's connection was lost");
         let failure = match end {
-            End::Lost if req.commits && self.wrote => {
+            AttemptOutcome::Lost if req.commits && self.wrote => {
                 refusal::unknown("the connection broke at commit")
             }
-            End::Silent if req.commits && self.wrote => refusal::timed_out(),
+            AttemptOutcome::Silent if req.commits && self.wrote => refusal::timed_out(),
             _ => refusal::rolled_back("the target was lost"),
         };
         self.fail(failure)
@@ -205,7 +205,7 @@
                 continue;
             };
             tried.push(place.target.member());
-            place.note(&mut self.trace);
+            place.record_in(&mut self.trace);
             match self.begin_on(proxy, req, place).await {
                 Ok(answer) => {
                     self.begun = true;
@@ -225,12 +225,12 @@
     }
 
     /// Selects a target that has not been tried yet.
-    fn select_target(&self, proxy: &Proxy, req: &Request, tried: &[MemberName]) -> Option<Place> {
+    fn select_target(&self, proxy: &Proxy, req: &Request, tried: &[MemberName]) -> Option<SelectedTarget> {
         if self.read_only && req.freshness != Freshness::Latest {
-            return proxy.place(&self.group, req, tried);
+            return proxy.select_read_target(&self.group, req, tried);
         }
         let target = self.group.serving_leader().filter(|it| !tried.contains(&it.member()))?;
-        Some(Place { target, at_least: None, reading_age: None })
+        Some(SelectedTarget { target, at_least: None, sample_age: None })
     }
 
     /// Tries to begin the transaction on one target.
@@ -241,10 +241,10 @@
         &mut self,
         proxy: &Rc<Proxy>,
         req: &Request,
-        place: Place,
+        place: SelectedTarget,
     ) -> Result<Answer, BeginError> {
         let permit = place.target.admit(req).await?;
-        let context = Surroundings {
+        let context = AttemptContext {
             borders: proxy.borders.clone(),
             group: Rc::clone(&self.group),
             target: Rc::clone(&place.target),
@@ -253,13 +253,13 @@
         let begin = match place.at_least {
             None => TargetCommand::Begin,
             Some(_) => TargetCommand::BeginReadOnly {
-                at_least: Some(proxy.needed_point(&self.group, req).ok_or(NotRun::Behind)?.point),
+                at_least: Some(proxy.required_point(&self.group, req).ok_or(NotRun::Behind)?.point),
             },
         };
         if let TargetCommand::BeginReadOnly { at_least: Some(point) } = begin {
             let begun = context.open_transaction(req, &mut lease, begin).await;
-            if let Err(End::NotRun(NotRun::Behind)) = begun {
-                place.target.note_behind(point, proxy.borders.clock.now());
+            if let Err(AttemptOutcome::NotRun(NotRun::Behind)) = begun {
+                place.target.record_behind(point, proxy.borders.clock.now());
             }
             begun.map_err(not_run_reason)?;
         } else {
@@ -302,11 +302,13 @@
 }
 
 /// Why a transaction could not be opened.
-fn not_run_reason(end: End) -> NotRun {
+fn not_run_reason(end: AttemptOutcome) -> NotRun {
     match end {
-        End::NotRun(reason) => reason,
-        End::Refused(reason) => reason,
-        End::Answered(_) | End::Lost | End::Silent => NotRun::Unreachable,
+        AttemptOutcome::NotRun(reason) => reason,
+        AttemptOutcome::Refused(reason) => reason,
+        AttemptOutcome::Answered(_) | AttemptOutcome::Lost | AttemptOutcome::Silent => {
+            NotRun::Unreachable
+        }
     }
 }
 
