--- a/crates/gullspar_caller/src/cancel_registry.rs
+++ b/crates/gullspar_caller/src/cancel_registry.rs
@@ -74,7 +74,7 @@
         // The balancer sends a cancel request to any instance.
         let borders = self.fleet.borders();
         for other in self.fleet.instances() {
-            if instance_mark(other.id.as_str()) == mark && other.takes_work() {
+            if instance_mark(other.id.as_str()) == mark && other.can_accept_work() {
                 let deadline = borders.clock.now() + std::time::Duration::from_secs(1);
                 let req = PeerRequest::CancelCaller { process, secret };
                 let call = borders.peers.call(other.peer, req, deadline);
--- a/crates/gullspar_caller/src/router.rs
+++ b/crates/gullspar_caller/src/router.rs
@@ -106,7 +106,7 @@
             let again = match &routing.outcome {
                 Outcome::Done { .. } => false,
                 Outcome::NotRun(NotRun::Overloaded { .. }) => false,
-                Outcome::NotRun(reason) => reason.may_be_retried_elsewhere(),
+                Outcome::NotRun(reason) => reason.can_retry_elsewhere(),
                 Outcome::Unknown(reason) => {
                     routed.repeatable && *reason != Unknown::DeadlinePassed && !sink.started
                 }
--- a/crates/gullspar_caller/src/session.rs
+++ b/crates/gullspar_caller/src/session.rs
@@ -207,7 +207,7 @@
                 // The key given by SET goes with the next request that can commit.
                 if plan.commits { state.request_key.take() } else { None }
             })
-            .filter(|_| Guard::RequestKey.holds());
+            .filter(|_| Guard::RequestKey.is_enabled());
         let continues = state.continues();
         let on_primary = match &state.held {
             Some(held) if continues => held.on_primary,
--- a/crates/gullspar_caller/src/session_settings.rs
+++ b/crates/gullspar_caller/src/session_settings.rs
@@ -47,7 +47,7 @@
         match setting {
             LocalSetting::Token => {
                 let key = &self.server.settings.token_key;
-                let token = key.open(value, &self.state.caller);
+                let token = key.verify(value, &self.state.caller);
                 let token = token.map_err(|err| invalid(format!("gullspar.token: {err}")))?;
                 if token.group != self.state.object.group.name {
                     return Err(invalid("gullspar.token: it is of another service".to_owned()));
@@ -85,7 +85,7 @@
     pub(crate) fn token(&self) -> Option<String> {
         let point = self.state.floor?;
         let token = Token { group: self.state.object.group.name.clone(), point };
-        Some(self.server.settings.token_key.seal(&token, &self.state.caller))
+        Some(self.server.settings.token_key.issue(&token, &self.state.caller))
     }
 
     pub(crate) fn report_token(&self, channel: &mut Channel) {
--- a/crates/gullspar_caller/src/session_state.rs
+++ b/crates/gullspar_caller/src/session_state.rs
@@ -73,7 +73,7 @@
     pub(crate) fn needs_anchor(&self) -> bool {
         self.class.consistency == Consistency::ReadYourWrites
             && !self.anchored
-            && Guard::Anchor.holds()
+            && Guard::Anchor.is_enabled()
     }
 
     /// Time within which a request must be answered.
--- a/crates/gullspar_fleet/src/config_store.rs
+++ b/crates/gullspar_fleet/src/config_store.rs
@@ -49,7 +49,7 @@
     /// versions.
     pub fn apply(&self, entry: &ConfigEntry) -> bool {
         let known = self.version(&entry.key);
-        if entry.version <= known && Guard::UpwardOnly.holds() {
+        if entry.version <= known && Guard::UpwardOnly.is_enabled() {
             return false;
         }
         if let Err(err) = self.take(entry) {
--- a/crates/gullspar_fleet/src/config_sync.rs
+++ b/crates/gullspar_fleet/src/config_sync.rs
@@ -76,10 +76,9 @@
             return;
         }
         let own = self.own.borrow().clone();
-        let others = self
-            .instances()
-            .into_iter()
-            .filter(|it| it.takes_work() && it.id != own.id && it.data_centre == own.data_centre);
+        let others = self.instances().into_iter().filter(|it| {
+            it.can_accept_work() && it.id != own.id && it.data_centre == own.data_centre
+        });
         self.push(others.map(|it| it.peer).collect(), &fresh, false);
     }
 
--- a/crates/gullspar_fleet/src/fleet.rs
+++ b/crates/gullspar_fleet/src/fleet.rs
@@ -129,7 +129,7 @@
 
     /// How many instances take work.
     pub fn live_count(&self) -> usize {
-        self.table.borrow().all().filter(|it| it.takes_work()).count()
+        self.table.borrow().all().filter(|it| it.can_accept_work()).count()
     }
 
     /// The instances that could hold something in `data_centre`: those there, or all where none is.
@@ -239,7 +239,7 @@
 impl LiveIndex {
     fn new(table: &MemberTable) -> LiveIndex {
         let all: Vec<Rc<InstanceRecord>> =
-            table.all().filter(|it| it.takes_work()).cloned().map(Rc::new).collect();
+            table.all().filter(|it| it.can_accept_work()).cloned().map(Rc::new).collect();
         let mut near: HashMap<DataCentre, Vec<Rc<InstanceRecord>>> = HashMap::new();
         for record in &all {
             near.entry(record.data_centre.clone()).or_default().push(Rc::clone(record));
--- a/crates/gullspar_fleet/src/member_table.rs
+++ b/crates/gullspar_fleet/src/member_table.rs
@@ -37,7 +37,7 @@
         if known.is_none() && record.state == InstanceState::Dead {
             return false;
         }
-        if known.is_some_and(|it| !record.supersedes(&it.record)) {
+        if known.is_some_and(|it| !record.is_newer_than(&it.record)) {
             return false;
         }
         let passes_left = self.passes();
--- a/crates/gullspar_group/src/group_watch.rs
+++ b/crates/gullspar_group/src/group_watch.rs
@@ -125,7 +125,7 @@
         let views = self.views.borrow();
         let seen = views.iter().filter_map(|(member, view)| {
             let status = view.status?;
-            let leads = status.leads(status.term);
+            let leads = status.is_primary_in(status.term);
             leads.then(|| Leader { term: status.term, member: member.clone() })
         });
         seen.chain(configured).max_by_key(|it| it.term)
@@ -194,7 +194,7 @@
         let Some(leader) = self.leader() else { return };
         let Some(confirmed) = self.confirmed_as_of(leader.term) else { return };
         let Some(view) = self.view(&leader.member) else { return };
-        let Some(status) = view.status.filter(|it| it.leads(leader.term)) else { return };
+        let Some(status) = view.status.filter(|it| it.is_primary_in(leader.term)) else { return };
         let point = LogPoint { term: leader.term, position: status.position };
         let as_of = confirmed.min(view.asked_at);
         self.readings.borrow_mut().add(Reading { as_of, point });
@@ -209,7 +209,7 @@
             .views
             .borrow()
             .values()
-            .filter(|it| it.status.is_some_and(|it| it.takes_part_in(term)))
+            .filter(|it| it.status.is_some_and(|it| it.is_active_in(term)))
             .map(|it| it.asked_at)
             .collect();
         asked.sort_unstable_by_key(|it| std::cmp::Reverse(*it));
@@ -226,7 +226,7 @@
         let now = self.now();
         self.majority(|it| {
             it.is_recent(now, self.timing.failed_after)
-                && it.status.is_some_and(|it| it.takes_part_in(term))
+                && it.status.is_some_and(|it| it.is_active_in(term))
         })
     }
 
@@ -244,11 +244,11 @@
 
     /// Whether a majority holds the log of `term` up to `position`.
     pub fn is_acknowledged(&self, term: Term, position: LogPosition) -> bool {
-        if !Guard::MajorityHolds.holds() {
+        if !Guard::MajorityHolds.is_enabled() {
             return true;
         }
         self.majority(|it| {
-            it.status.is_some_and(|it| it.takes_part_in(term) && it.position >= position)
+            it.status.is_some_and(|it| it.is_active_in(term) && it.position >= position)
         })
     }
 
@@ -267,7 +267,7 @@
             if group.object.term <= point.term {
                 return None;
             }
-            match group.object.survived(point) {
+            match group.object.is_in_current_log(point) {
                 Some(false) => Some(Settled::Undone),
                 None => Some(Settled::Unknown(Unknown::Superseded)),
                 Some(true) => {
@@ -305,7 +305,7 @@
     ) -> Result<(), NotRun> {
         self.wait_until(deadline, || {
             let status = self.view(member).and_then(|it| it.status)?;
-            if floor.is_some_and(|it| !status.covers(it)) && Guard::Floor.holds() {
+            if floor.is_some_and(|it| !status.has_reached(it)) && Guard::Floor.is_enabled() {
                 return None;
             }
             let Some(max_age) = max_age else { return Some(Ok(())) };
--- a/crates/gullspar_group/src/promotion.rs
+++ b/crates/gullspar_group/src/promotion.rs
@@ -8,7 +8,7 @@
 use gullspar_border::{ConfigEntry, ObjectVersion, PlatformError, within};
 use gullspar_model::{
     GroupObject, Guard, LogPoint, MemberName, MemberSpec, MemberStatus, Term, TermStart,
-    promotion_pauses_after,
+    should_pause_promotion_after,
 };
 use quick_error::quick_error;
 
@@ -246,7 +246,7 @@
 /// The member with the longest log, a leaving one only where no other is as long.
 fn most_advanced(fenced: Vec<FencedMember>) -> Option<(FencedMember, LogPoint)> {
     let rank = |it: &FencedMember| (it.status.log_end(), !it.spec.leaving);
-    let best = if Guard::LongestLog.holds() {
+    let best = if Guard::LongestLog.is_enabled() {
         fenced.into_iter().max_by_key(rank)?
     } else {
         fenced.into_iter().min_by_key(rank)?
@@ -259,7 +259,7 @@
 fn reached(step: PromotionStep) {
     /// Longer than it takes the others to notice and to act.
     const PAUSE: Duration = Duration::from_millis(2500);
-    if promotion_pauses_after(step as u32) {
+    if should_pause_promotion_after(step as u32) {
         std::thread::sleep(PAUSE);
     }
 }
--- a/crates/gullspar_group/src/reading_history.rs
+++ b/crates/gullspar_group/src/reading_history.rs
@@ -51,7 +51,7 @@
 
     /// The instant up to which `status` holds everything acknowledged, if any reading tells.
     pub fn fresh_as_of(&self, status: &MemberStatus) -> Option<Instant> {
-        let reached = self.readings.iter().rev().find(|it| status.covers(it.point));
+        let reached = self.readings.iter().rev().find(|it| status.has_reached(it.point));
         reached.map(|it| it.as_of)
     }
 }
--- a/crates/gullspar_group/src/repair.rs
+++ b/crates/gullspar_group/src/repair.rs
@@ -38,7 +38,7 @@
         let Some(leader) = self.leader() else { return false };
         let Some(status) = self.view(member).and_then(|it| it.status) else { return false };
         leader.member != *member
-            && !status.takes_part_in(leader.term)
+            && !status.is_active_in(leader.term)
             && self.fleet.is_home(&key, &own.data_centre)
     }
 
--- a/crates/gullspar_group/src/suspicion.rs
+++ b/crates/gullspar_group/src/suspicion.rs
@@ -88,7 +88,7 @@
             return Some(Need::Silent);
         }
         let status = self.view(&leader.member).and_then(|it| it.status);
-        if status.is_some_and(|it| !it.leads(leader.term)) {
+        if status.is_some_and(|it| !it.is_primary_in(leader.term)) {
             return Some(Need::Deposed);
         }
         if claimed_ahead && object.is_some_and(|it| it.claimed > leader.term) {
@@ -120,7 +120,7 @@
         let views = self.views.borrow();
         let able = spec.members.iter().filter(|it| !it.leaving).any(|it| {
             let status = views.get(&it.name).and_then(|it| it.status);
-            status.is_some_and(|it| it.role == MemberRole::Replica && it.takes_part_in(leader.term))
+            status.is_some_and(|it| it.role == MemberRole::Replica && it.is_active_in(leader.term))
         });
         leaving && able
     }
@@ -173,7 +173,7 @@
             return true;
         }
         let Some(leader) = self.leader() else { return false };
-        if !Guard::FreshCall.holds() {
+        if !Guard::FreshCall.is_enabled() {
             let deadline = self.now() + VIEWS_WITHIN;
             return self.majority_agrees(&leader, deadline).await;
         }
@@ -197,7 +197,8 @@
         let Some(leader) = self.leader() else { return false };
         let deadline = self.now() + VIEWS_WITHIN;
         let answer = self.answers_now(&leader, deadline).await;
-        answer.is_some_and(|it| !it.leads(leader.term)) && self.need() == Some(Need::Deposed)
+        answer.is_some_and(|it| !it.is_primary_in(leader.term))
+            && self.need() == Some(Need::Deposed)
     }
 
     async fn answers_now(&self, leader: &Leader, deadline: Instant) -> Option<MemberStatus> {
--- a/crates/gullspar_lab/tests/guards.rs
+++ b/crates/gullspar_lab/tests/guards.rs
@@ -145,6 +145,6 @@
 fn a_token_of_another_is_taken() -> bool {
     let key = TokenKey::new("secret");
     let token = Token { group: "core".into(), point: LogPoint::new(1, 2) };
-    let sealed = key.seal(&token, &CallerName::new("one"));
-    key.open(&sealed, &CallerName::new("other")).is_ok()
+    let sealed = key.issue(&token, &CallerName::new("one"));
+    key.verify(&sealed, &CallerName::new("other")).is_ok()
 }
--- a/crates/gullspar_model/src/group_object.rs
+++ b/crates/gullspar_model/src/group_object.rs
@@ -38,7 +38,7 @@
     ///
     /// The first later term tells: it took over a log that ends with a record of that very term and
     /// reaches as far, or the record is gone. `None` if a term in between left no trace here.
-    pub fn survived(&self, point: LogPoint) -> Option<bool> {
+    pub fn is_in_current_log(&self, point: LogPoint) -> Option<bool> {
         let next = self.history.iter().find(|it| it.term > point.term)?;
         (next.after.term <= point.term).then_some(next.after >= point)
     }
--- a/crates/gullspar_model/src/guard.rs
+++ b/crates/gullspar_model/src/guard.rs
@@ -28,13 +28,13 @@
     /// Whether the guard is in place.
     #[cfg(not(feature = "guard_switches"))]
     #[inline(always)]
-    pub fn holds(self) -> bool {
+    pub fn is_enabled(self) -> bool {
         true
     }
 
     /// Whether the guard is in place.
     #[cfg(feature = "guard_switches")]
-    pub fn holds(self) -> bool {
+    pub fn is_enabled(self) -> bool {
         switches::OFF.load(std::sync::atomic::Ordering::Relaxed) & (1 << self as u32) == 0
     }
 
@@ -49,13 +49,13 @@
 /// Whether a test wants the instance to stand still after this step of a promotion, once.
 #[cfg(not(feature = "guard_switches"))]
 #[inline(always)]
-pub fn promotion_pauses_after(_step: u32) -> bool {
+pub fn should_pause_promotion_after(_step: u32) -> bool {
     false
 }
 
 /// Whether a test wants the instance to stand still after this step of a promotion, once.
 #[cfg(feature = "guard_switches")]
-pub fn promotion_pauses_after(step: u32) -> bool {
+pub fn should_pause_promotion_after(step: u32) -> bool {
     use std::sync::atomic::Ordering;
     let wanted =
         switches::PAUSE_AFTER.compare_exchange(step + 1, 0, Ordering::Relaxed, Ordering::Relaxed);
--- a/crates/gullspar_model/src/instance_record.rs
+++ b/crates/gullspar_model/src/instance_record.rs
@@ -32,12 +32,12 @@
 
 impl InstanceRecord {
     /// Whether this record says something newer than `other` about the same instance.
-    pub fn supersedes(&self, other: &InstanceRecord) -> bool {
+    pub fn is_newer_than(&self, other: &InstanceRecord) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
 
     /// Whether new work may go there.
-    pub fn takes_work(&self) -> bool {
+    pub fn can_accept_work(&self) -> bool {
         matches!(self.state, InstanceState::Alive | InstanceState::Suspect)
     }
 }
--- a/crates/gullspar_model/src/lib.rs
+++ b/crates/gullspar_model/src/lib.rs
@@ -29,7 +29,7 @@
 pub use group_spec::GroupSpec;
 #[cfg(feature = "guard_switches")]
 pub use guard::switches;
-pub use guard::{Guard, promotion_pauses_after};
+pub use guard::{Guard, should_pause_promotion_after};
 pub use instance_record::{InstanceRecord, InstanceState};
 pub use log_point::{LogPoint, LogPosition, Term};
 pub use member_spec::MemberSpec;
--- a/crates/gullspar_model/src/member_status.rs
+++ b/crates/gullspar_model/src/member_status.rs
@@ -33,20 +33,20 @@
 
 impl MemberStatus {
     /// Whether the member takes part in `term`: leads or follows its log and was not fenced above.
-    pub fn takes_part_in(&self, term: Term) -> bool {
+    pub fn is_active_in(&self, term: Term) -> bool {
         self.term == term && self.fence <= term && self.role != MemberRole::Detached
     }
 
     /// Whether the member leads `term`.
-    pub fn leads(&self, term: Term) -> bool {
-        self.takes_part_in(term) && self.role == MemberRole::Primary
+    pub fn is_primary_in(&self, term: Term) -> bool {
+        self.is_active_in(term) && self.role == MemberRole::Primary
     }
 
     /// Whether a read here sees everything up to `floor`.
     ///
     /// A member of a lower term may hold another tail at the same positions, so it never does.
-    pub fn covers(&self, floor: LogPoint) -> bool {
-        self.takes_part_in(self.term) && self.term >= floor.term && self.position >= floor.position
+    pub fn has_reached(&self, floor: LogPoint) -> bool {
+        self.is_active_in(self.term) && self.term >= floor.term && self.position >= floor.position
     }
 
     /// How far its log goes; the greatest among a fenced majority is promoted.
--- a/crates/gullspar_model/src/outcome.rs
+++ b/crates/gullspar_model/src/outcome.rs
@@ -106,7 +106,7 @@
     }
 
     /// Whether another target or a later moment may serve the same request.
-    pub fn may_be_retried_elsewhere(self) -> bool {
+    pub fn can_retry_elsewhere(self) -> bool {
         !matches!(self, NotRun::DeadlinePassed | NotRun::TransactionLost)
     }
 }
--- a/crates/gullspar_model/src/token_key.rs
+++ b/crates/gullspar_model/src/token_key.rs
@@ -34,20 +34,20 @@
     }
 
     /// Writes `token` for `caller`.
-    pub fn seal(&self, token: &Token, caller: &CallerName) -> String {
+    pub fn issue(&self, token: &Token, caller: &CallerName) -> String {
         let body = format!("{}:{}:{}", token.group, token.point.term.0, token.point.position.0);
         let signature = self.sign(&body, caller);
         format!("{body}:{signature}")
     }
 
     /// Reads a token back, if it was sealed for `caller`.
-    pub fn open(&self, text: &str, caller: &CallerName) -> Result<Token, TokenError> {
+    pub fn verify(&self, text: &str, caller: &CallerName) -> Result<Token, TokenError> {
         let (body, signature) = text.rsplit_once(':').ok_or(TokenError::Malformed)?;
         let mut parts = body.rsplitn(3, ':');
         let position = parts.next().and_then(|it| it.parse().ok()).ok_or(TokenError::Malformed)?;
         let term = parts.next().and_then(|it| it.parse().ok()).ok_or(TokenError::Malformed)?;
         let group = parts.next().ok_or(TokenError::Malformed)?;
-        if self.sign(body, caller) != signature && Guard::TokenSignature.holds() {
+        if self.sign(body, caller) != signature && Guard::TokenSignature.is_enabled() {
             return Err(TokenError::Forged);
         }
         Ok(Token { group: GroupName::new(group), point: LogPoint::new(term, position) })
--- a/crates/gullspar_target/src/local_lane.rs
+++ b/crates/gullspar_target/src/local_lane.rs
@@ -265,8 +265,10 @@
         return Ok(None);
     }
     let leader = watch.leader().ok_or(NotRun::NoPrimary)?;
-    let leads =
-        watch.view(&head.member).and_then(|it| it.status).is_some_and(|it| it.leads(leader.term));
+    let leads = watch
+        .view(&head.member)
+        .and_then(|it| it.status)
+        .is_some_and(|it| it.is_primary_in(leader.term));
     if leader.member != head.member || !leads {
         return Err(NotRun::NotPrimary);
     }
@@ -311,7 +313,7 @@
     let (Some(after), Some(term)) = (exchanged.after, term) else {
         return Settled::Unknown(Unknown::Superseded);
     };
-    if !after.leads(term) {
+    if !after.is_primary_in(term) {
         // The member was fenced between the commit and this reading, which then tells nothing of
         // where the commit stands in the log.
         return Settled::Unknown(Unknown::Superseded);
