--- a/crates/gullspar/src/check.rs
+++ b/crates/gullspar/src/check.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use gullspar_settings::{DirectSettings, Findings, InstanceSettings, reference};
+use gullspar_settings::{DirectSettings, Findings, InstanceSettings, render_reference};
 
 /// Reads a settings file, or tells everything that is wrong with it.
 pub(crate) fn read(file: &Path) -> Result<InstanceSettings, String> {
@@ -43,9 +43,9 @@
 pub(crate) fn print_reference(direct: bool) -> ExitCode {
     let page = if direct {
         let title = "Settings of an instance that connects directly";
-        reference(title, &DirectSettings::options())
+        render_reference(title, &DirectSettings::options())
     } else {
-        reference("Settings of an instance", &InstanceSettings::options())
+        render_reference("Settings of an instance", &InstanceSettings::options())
     };
     print!("{page}");
     ExitCode::SUCCESS
--- a/crates/gullspar/tests/documents.rs
+++ b/crates/gullspar/tests/documents.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use gullspar_lab::LabSettings;
-use gullspar_settings::{DirectSettings, InstanceSettings, reference};
+use gullspar_settings::{DirectSettings, InstanceSettings, render_reference};
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -89,7 +89,7 @@
 #[test]
 fn the_settings_page_is_the_one_generated() {
     let page = std::fs::read_to_string(root().join("docs/settings.md")).unwrap();
-    let generated = reference("Settings of an instance", &InstanceSettings::options());
+    let generated = render_reference("Settings of an instance", &InstanceSettings::options());
     assert_eq!(page, generated, "run: cargo run -p gullspar -- settings > docs/settings.md");
 }
 
@@ -97,7 +97,7 @@
 fn the_page_of_direct_settings_is_the_one_generated() {
     let page = std::fs::read_to_string(root().join("docs/settings-direct.md")).unwrap();
     let title = "Settings of an instance that connects directly";
-    let generated = reference(title, &DirectSettings::options());
+    let generated = render_reference(title, &DirectSettings::options());
     let hint = "run: cargo run -p gullspar -- settings --direct > docs/settings-direct.md";
     assert_eq!(page, generated, "{hint}");
 }
--- a/crates/gullspar_border/src/burn_series.rs
+++ b/crates/gullspar_border/src/burn_series.rs
@@ -15,7 +15,7 @@
 
 record! {
     /// Failed requests that were last tried at one target.
-    pub struct TargetBlame {
+    pub struct TargetFailureCount {
         /// `group/member`, or empty where no target was found.
         pub target: String,
         pub reason: String,
@@ -33,7 +33,7 @@
         /// The present minute first, then backwards.
         pub minutes: Vec<MinuteCount>,
         /// Of the last hour, the most frequent first.
-        pub blames: Vec<TargetBlame>,
+        pub blames: Vec<TargetFailureCount>,
     }
 }
 
@@ -44,7 +44,7 @@
     }
 
     /// All requests.
-    pub fn all(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         u64::from(self.good) + self.bad()
     }
 
--- a/crates/gullspar_border/src/lib.rs
+++ b/crates/gullspar_border/src/lib.rs
@@ -15,10 +15,10 @@
 mod peers;
 mod platform;
 mod primary_view;
-mod watch_pace;
+mod watch_backoff;
 
 pub use boot_instant::BootInstant;
-pub use burn_series::{BurnSeries, MinuteCount, TargetBlame};
+pub use burn_series::{BurnSeries, MinuteCount, TargetFailureCount};
 pub use clock::{Clock, DeadlinePassed, within};
 pub use config_entry::ConfigEntry;
 pub use entropy::{Entropy, jittered};
@@ -31,4 +31,4 @@
     ObjectVersion, Platform, PlatformError, PlatformInstance, StoredObject, WatchReply,
 };
 pub use primary_view::PrimaryView;
-pub use watch_pace::WatchPace;
+pub use watch_backoff::WatchBackoff;
--- a/crates/gullspar_border/src/peers.rs
+++ b/crates/gullspar_border/src/peers.rs
@@ -14,13 +14,13 @@
     /// A call to another instance.
     pub enum PeerRequest {
         /// Exchanges membership news; the answer carries what the caller seems not to know.
-        Exchange { from: InstanceRecord, news: Vec<InstanceRecord>, config_digest: u64 },
+        Exchange { from: InstanceRecord, updates: Vec<InstanceRecord>, config_digest: u64 },
         /// Asks to probe a third instance on the caller's behalf.
         Probe { peer: SocketAddr },
         /// Asks for all configuration newer than what the caller has.
         Pull { known: Vec<(String, ObjectVersion)> },
-        /// Hands out changed configuration; with `pass_on` the receiver hands it on in its data centre.
-        Push { entries: Vec<ConfigEntry>, pass_on: bool },
+        /// Hands out changed configuration; with `forward` the receiver hands it on in its data centre.
+        Push { entries: Vec<ConfigEntry>, forward: bool },
         /// Asks whether the primary of a term seems to have failed.
         ViewOfPrimary { group: GroupName, term: Term },
         /// Cancels the statement that a lane is running.
@@ -37,7 +37,7 @@
 record! {
     /// The answer to a [`PeerRequest`].
     pub enum PeerReply {
-        Exchanged { from: InstanceRecord, news: Vec<InstanceRecord>, config_digest: u64 },
+        Exchanged { from: InstanceRecord, updates: Vec<InstanceRecord>, config_digest: u64 },
         Probed { answered: bool },
         Entries(Vec<ConfigEntry>),
         View(PrimaryView),
--- a/crates/gullspar_border/src/watch_pace.rs
+++ b/crates/gullspar_border/src/watch_backoff.rs
@@ -20,35 +20,35 @@
 /// last is asked to wait. In 24 days with 5 to 9 s of silence beside a change every 2 s, 5 had a configuration in
 /// force too late; with this none.
 #[derive(Debug, Default)]
-pub struct WatchPace {
+pub struct WatchBackoff {
     answered: bool,
     /// Calls that failed since the last answer.
     failed: u32,
 }
 
-impl WatchPace {
+impl WatchBackoff {
     /// How long the next watch may wait for news: `at_most`, or not at all unless the last call was answered.
-    pub fn wait(&self, at_most: Duration) -> Duration {
+    pub fn max_wait(&self, at_most: Duration) -> Duration {
         if self.answered { at_most } else { Duration::ZERO }
     }
 
     /// Whether the last call was answered.
-    pub fn is_answered(&self) -> bool {
+    pub fn is_responsive(&self) -> bool {
         self.answered
     }
 
     /// Notes that a call was answered.
-    pub fn answered(&mut self) {
-        *self = WatchPace { answered: true, failed: 0 };
+    pub fn record_answer(&mut self) {
+        *self = WatchBackoff { answered: true, failed: 0 };
     }
 
     /// Notes that the call sent at `sent_at` failed; gives when to send the next.
     ///
     /// The pause counts from the sending: a call without an answer has kept its follower from asking again for long
     /// enough.
-    pub fn failed(&mut self, sent_at: Instant, entropy: &dyn Entropy) -> Instant {
+    pub fn record_failure(&mut self, sent_at: Instant, entropy: &dyn Entropy) -> Instant {
         let longer = FAILED_PAUSE * 2u32.pow(self.failed.min(4));
-        *self = WatchPace { answered: false, failed: self.failed + 1 };
+        *self = WatchBackoff { answered: false, failed: self.failed + 1 };
         sent_at + jittered(entropy, longer.min(LONGEST_PAUSE))
     }
 }
--- a/crates/gullspar_caller/src/minute_ring.rs
+++ b/crates/gullspar_caller/src/minute_ring.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use gullspar_border::{MinuteCount, TargetBlame};
+use gullspar_border::{MinuteCount, TargetFailureCount};
 use gullspar_model::TargetKey;
 
 /// Minutes kept: six hours, the longest window of the burn report.
@@ -76,15 +76,15 @@
     }
 
     /// Blames of the last hour, the most frequent first.
-    pub(crate) fn blames(&self, minute: u64) -> Vec<TargetBlame> {
+    pub(crate) fn blames(&self, minute: u64) -> Vec<TargetFailureCount> {
         let mut sums: BTreeMap<(String, &'static str), u64> = BTreeMap::new();
         for blame in self.blames.iter().filter(|it| it.minute + BLAMED_MINUTES >= minute) {
             let target = blame.target.as_ref().map_or(String::new(), ToString::to_string);
             *sums.entry((target, blame.reason)).or_default() += blame.count;
         }
-        let mut blames: Vec<TargetBlame> = sums
+        let mut blames: Vec<TargetFailureCount> = sums
             .into_iter()
-            .map(|((target, reason), count)| TargetBlame {
+            .map(|((target, reason), count)| TargetFailureCount {
                 target,
                 reason: reason.to_owned(),
                 count,
--- a/crates/gullspar_fleet/src/config_sync.rs
+++ b/crates/gullspar_fleet/src/config_sync.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gullspar_border::{ConfigEntry, PeerReply, PeerRequest, WatchPace, WatchReply, within};
+use gullspar_border::{ConfigEntry, PeerReply, PeerRequest, WatchBackoff, WatchReply, within};
 use gullspar_model::DataCentre;
 
 use crate::Fleet;
@@ -28,7 +28,7 @@
     pub(crate) async fn run_config(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut revision = 0;
-        let mut pace = WatchPace::default();
+        let mut backoff = WatchBackoff::default();
         loop {
             if !self.is_relay() {
                 revision = 0;
@@ -37,16 +37,18 @@
                 continue;
             }
             let sent_at = clock.now();
-            let wait_ms = pace.wait(self.timing.watch_for).as_millis() as u64;
+            let wait_ms = backoff.max_wait(self.timing.watch_for).as_millis() as u64;
             match self.borders.platform.watch(PREFIX, revision, wait_ms).await {
                 Ok(reply) => {
-                    pace.answered();
+                    backoff.record_answer();
                     revision = reply.revision;
                     self.take_watched(reply);
                 }
                 Err(err) => {
                     log::warn!("G0204 watching the platform failed: {err}");
-                    clock.sleep_until(pace.failed(sent_at, &*self.borders.entropy)).await;
+                    clock
+                        .sleep_until(backoff.record_failure(sent_at, &*self.borders.entropy))
+                        .await;
                 }
             }
         }
@@ -69,10 +71,10 @@
     }
 
     /// Puts entries in force and, as a relay, hands the new ones to the others of the data centre.
-    pub fn take_entries(self: &Rc<Self>, entries: Vec<ConfigEntry>, pass_on: bool) {
+    pub fn take_entries(self: &Rc<Self>, entries: Vec<ConfigEntry>, forward: bool) {
         let fresh: Vec<ConfigEntry> =
             entries.into_iter().filter(|it| self.config.apply(it)).collect();
-        if fresh.is_empty() || !pass_on {
+        if fresh.is_empty() || !forward {
             return;
         }
         let own = self.own.borrow().clone();
@@ -96,9 +98,9 @@
         self.push(relays.collect(), &entries, true);
     }
 
-    fn push(&self, peers: Vec<SocketAddr>, entries: &[ConfigEntry], pass_on: bool) {
+    fn push(&self, peers: Vec<SocketAddr>, entries: &[ConfigEntry], forward: bool) {
         for peer in peers {
-            let req = PeerRequest::Push { entries: entries.to_vec(), pass_on };
+            let req = PeerRequest::Push { entries: entries.to_vec(), forward };
             let deadline = self.borders.clock.now() + self.timing.answer_within;
             let call = self.borders.peers.call(peer, req, deadline);
             // An instance that misses the push notices by its digest at the next exchange.
--- a/crates/gullspar_fleet/src/gossip.rs
+++ b/crates/gullspar_fleet/src/gossip.rs
@@ -118,14 +118,14 @@
     /// Exchanges news with the instance at `peer`; tells whether it answered.
     async fn exchange(self: &Rc<Self>, peer: std::net::SocketAddr) -> bool {
         let req = {
-            let news = self.table.borrow_mut().news();
+            let updates = self.table.borrow_mut().news();
             let from = self.own.borrow().clone();
-            PeerRequest::Exchange { from, news, config_digest: self.config.digest() }
+            PeerRequest::Exchange { from, updates, config_digest: self.config.digest() }
         };
         let deadline = self.borders.clock.now() + self.timing.answer_within;
         let reply = self.borders.peers.call(peer, req, deadline).await;
-        let Ok(PeerReply::Exchanged { from, news, config_digest }) = reply else { return false };
-        self.hear(&from, &news);
+        let Ok(PeerReply::Exchanged { from, updates, config_digest }) = reply else { return false };
+        self.hear(&from, &updates);
         if config_digest != self.config.digest() {
             self.pull_from(peer).await;
         }
@@ -136,12 +136,12 @@
     pub fn answer_exchange(
         self: &Rc<Self>,
         from: InstanceRecord,
-        news: Vec<InstanceRecord>,
+        updates: Vec<InstanceRecord>,
         config_digest: u64,
     ) -> PeerReply {
         let stranger = self.table.borrow().get(&from.id).is_none();
-        self.hear(&from, &news);
-        let news = if stranger {
+        self.hear(&from, &updates);
+        let updates = if stranger {
             // A newcomer is told everything at once; waiting for gossip would take it minutes.
             self.instances()
         } else {
@@ -152,7 +152,7 @@
             compio::runtime::spawn(async move { this.pull_from(from.peer).await }).detach();
         }
         let own = self.own.borrow().clone();
-        PeerReply::Exchanged { from: own, news, config_digest: self.config.digest() }
+        PeerReply::Exchanged { from: own, updates, config_digest: self.config.digest() }
     }
 
     /// Probes a third instance on another's behalf.
@@ -160,10 +160,10 @@
         PeerReply::Probed { answered: self.exchange(peer).await }
     }
 
-    fn hear(&self, from: &InstanceRecord, news: &[InstanceRecord]) {
+    fn hear(&self, from: &InstanceRecord, updates: &[InstanceRecord]) {
         self.learn(from, None);
         self.heard_of_others.set(true);
-        for record in news {
+        for record in updates {
             if record.id == self.id() {
                 self.object_to(record);
                 continue;
--- a/crates/gullspar_instance/src/peer_side.rs
+++ b/crates/gullspar_instance/src/peer_side.rs
@@ -14,15 +14,15 @@
     fn handle(self: Rc<Self>, req: PeerRequest) -> LocalBoxFuture<'static, PeerReply> {
         async move {
             match req {
-                PeerRequest::Exchange { from, news, config_digest } => {
-                    self.fleet.answer_exchange(from, news, config_digest)
+                PeerRequest::Exchange { from, updates, config_digest } => {
+                    self.fleet.answer_exchange(from, updates, config_digest)
                 }
                 PeerRequest::Probe { peer } => Rc::clone(&self.fleet).answer_probe(peer).await,
                 PeerRequest::Pull { known } => {
                     PeerReply::Entries(self.fleet.config.newer_than(&known))
                 }
-                PeerRequest::Push { entries, pass_on } => {
-                    self.fleet.take_entries(entries, pass_on);
+                PeerRequest::Push { entries, forward } => {
+                    self.fleet.take_entries(entries, forward);
                     PeerReply::Accepted
                 }
                 PeerRequest::ViewOfPrimary { group, term } => {
--- a/crates/gullspar_report/src/burn_report.rs
+++ b/crates/gullspar_report/src/burn_report.rs
@@ -1,6 +1,6 @@
 //! Burn rates over several windows.
 
-use gullspar_border::{BurnSeries, MinuteCount, TargetBlame};
+use gullspar_border::{BurnSeries, MinuteCount, TargetFailureCount};
 use gullspar_model::record;
 
 record! {
@@ -37,7 +37,7 @@
         pub urgency: Urgency,
         pub windows: Vec<BurnWindow>,
         /// What failed requests were last tried at, the most frequent first.
-        pub blames: Vec<TargetBlame>,
+        pub blames: Vec<TargetFailureCount>,
         pub minutes: Vec<MinuteCount>,
     }
 }
@@ -101,10 +101,10 @@
     let mut sum = MinuteCount::default();
     series.minutes.iter().take(minutes as usize).for_each(|it| sum.add(it));
     let allowed_ppm = 1_000_000_u64.saturating_sub(series.objective_ppm).max(1);
-    let bad_ppm = (sum.bad() * 1_000_000).checked_div(sum.all()).unwrap_or(0);
+    let bad_ppm = (sum.bad() * 1_000_000).checked_div(sum.total()).unwrap_or(0);
     BurnWindow {
         minutes,
-        requests: sum.all(),
+        requests: sum.total(),
         bad: sum.bad(),
         burn_hundredths: bad_ppm * 100 / allowed_ppm,
     }
--- a/crates/gullspar_report/src/html.rs
+++ b/crates/gullspar_report/src/html.rs
@@ -72,8 +72,11 @@
     let mut svg = String::new();
     {
         let allowed = (1_000_000 - row.objective_ppm) as f64 / 10_000.0;
-        let shares: Vec<f64> =
-            row.minutes.iter().map(|it| 100.0 * it.bad() as f64 / it.all().max(1) as f64).collect();
+        let shares: Vec<f64> = row
+            .minutes
+            .iter()
+            .map(|it| 100.0 * it.bad() as f64 / it.total().max(1) as f64)
+            .collect();
         let top = shares.iter().copied().fold(allowed * 2.0, f64::max);
         let span = shares.len().max(2) as f64;
         let area = SVGBackend::with_string(&mut svg, PLOT).into_drawing_area();
--- a/crates/gullspar_report/tests/burn.rs
+++ b/crates/gullspar_report/tests/burn.rs
@@ -1,6 +1,6 @@
 //! Burn rates, urgency and blame.
 
-use gullspar_border::{BurnSeries, MinuteCount, TargetBlame};
+use gullspar_border::{BurnSeries, MinuteCount, TargetFailureCount};
 use gullspar_report::{BurnReport, Urgency, html, text};
 use test_case::test_case;
 
@@ -10,7 +10,7 @@
         class: class.to_owned(),
         objective_ppm: 999_000,
         minutes,
-        blames: vec![TargetBlame {
+        blames: vec![TargetFailureCount {
             target: "core/m1".to_owned(),
             reason: "the service is overloaded".to_owned(),
             count: 7,
--- a/crates/gullspar_settings/src/lib.rs
+++ b/crates/gullspar_settings/src/lib.rs
@@ -16,5 +16,5 @@
 pub use finding::{Finding, Findings};
 pub use instance_settings::InstanceSettings;
 pub use jsonc_file::JsoncFile;
-pub use option_doc::{OptionDoc, reference};
+pub use option_doc::{OptionDoc, render_reference};
 pub use seconds::Seconds;
--- a/crates/gullspar_telemetry/src/bounded_append.rs
+++ b/crates/gullspar_telemetry/src/bounded_append.rs
@@ -33,10 +33,10 @@
         let now = Instant::now();
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(budget) = budgets.get_mut(event) {
-            return budget.draw(now);
+            return budget.try_consume(now);
         }
         let mut budget = LineBudget::new(now);
-        let drawn = budget.draw(now);
+        let drawn = budget.try_consume(now);
         budgets.insert(event.to_owned(), budget);
         drawn
     }
@@ -49,7 +49,7 @@
         let Some(left_out) = self.draw(event) else { return Ok(()) };
         let mut line = self.layout.format(record, diags)?;
         line.push(b'\n');
-        let lost = self.writer.take_lost();
+        let lost = self.writer.take_lost_count();
         if left_out > 0 || lost > 0 {
             let note = format!(
                 "{{\"message\":\"lines are missing before the next one\",\"event\":\"{event}\",\
--- a/crates/gullspar_telemetry/src/line_budget.rs
+++ b/crates/gullspar_telemetry/src/line_budget.rs
@@ -26,7 +26,7 @@
     }
 
     /// Draws one line: `Some` if it may be written, with the number of lines left out since the last.
-    pub fn draw(&mut self, now: Instant) -> Option<u64> {
+    pub fn try_consume(&mut self, now: Instant) -> Option<u64> {
         let passed = now.saturating_duration_since(self.refilled_at);
         let earned = (passed.as_micros() * u128::from(PER_SECOND) / 1_000_000) as u32;
         if earned > 0 {
--- a/crates/gullspar_telemetry/src/line_writer.rs
+++ b/crates/gullspar_telemetry/src/line_writer.rs
@@ -58,7 +58,7 @@
     }
 
     /// Lines that were lost since this was asked last.
-    pub fn take_lost(&self) -> u64 {
+    pub fn take_lost_count(&self) -> u64 {
         self.lost.swap(0, Ordering::Relaxed)
     }
 
--- a/crates/gullspar_telemetry/tests/lines.rs
+++ b/crates/gullspar_telemetry/tests/lines.rs
@@ -15,12 +15,16 @@
 fn an_event_is_written_within_its_budget_and_the_rest_is_counted() {
     let start = Instant::now();
     let mut budget = LineBudget::new(start);
-    let written = (0..1000).filter(|_| budget.draw(start).is_some()).count();
+    let written = (0..1000).filter(|_| budget.try_consume(start).is_some()).count();
     assert_eq!(written, 400);
     let later = start + Duration::from_secs(1);
-    assert_eq!(budget.draw(later), Some(600), "the first line afterwards tells what is missing");
-    assert_eq!(budget.draw(later), Some(0));
-    let more = (0..1000).filter(|_| budget.draw(later).is_some()).count();
+    assert_eq!(
+        budget.try_consume(later),
+        Some(600),
+        "the first line afterwards tells what is missing"
+    );
+    assert_eq!(budget.try_consume(later), Some(0));
+    let more = (0..1000).filter(|_| budget.try_consume(later).is_some()).count();
     assert_eq!(more, 398);
 }
 
@@ -60,9 +64,9 @@
         writer.write(format!("line {turn:094}\n").into_bytes());
     }
     assert!(started.elapsed() < Duration::from_secs(1), "took {:?}", started.elapsed());
-    let lost = writer.take_lost();
+    let lost = writer.take_lost_count();
     assert!(lost > 5000, "{lost} lost");
-    assert_eq!(writer.take_lost(), 0);
+    assert_eq!(writer.take_lost_count(), 0);
     drop(go);
     writer.flush();
     let first = format!("line {:094}\n", 0);
