--- a/crates/gullspar_border/src/boot_instant.rs
+++ b/crates/gullspar_border/src/boot_instant.rs
@@ -1,13 +1,12 @@
-//! Instants of a clock that counts suspension.
+//! Instants of a clock that keeps running while the machine is suspended.
 
 use std::time::Duration;
 
 gullspar_model::value! {
-    /// An instant in microseconds since the machine started, the time of its suspensions included.
+    /// An instant in microseconds since the machine started, including time during which it was suspended.
     ///
-    /// The age of data must be told by this clock: `Instant` stands still while a machine is
-    /// suspended, so that on waking a reading taken before would look fresh, and a caller would be
-    /// served data older than its class allows.
+    /// The age of data must be measured with this clock. `Instant` does not advance during a suspension, so
+    /// data read before it would look fresh afterwards, and a caller could get data older than its class allows.
     pub struct BootInstant(pub u64);
 }
 
@@ -15,18 +14,18 @@
     /// When the machine started.
     pub const MACHINE_START: BootInstant = BootInstant(0);
 
-    /// How long before `self` the instant `earlier` was; zero if it was not.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is later.
     pub fn since(self, earlier: BootInstant) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The instant `later` later.
-    pub fn plus(self, later: Duration) -> BootInstant {
-        BootInstant(self.0.saturating_add(later.as_micros() as u64))
+    /// Adds `duration`, saturating at the maximum.
+    pub fn plus(self, duration: Duration) -> BootInstant {
+        BootInstant(self.0.saturating_add(duration.as_micros() as u64))
     }
 
-    /// The instant `before` earlier.
-    pub fn minus(self, before: Duration) -> BootInstant {
-        BootInstant(self.0.saturating_sub(before.as_micros() as u64))
+    /// Subtracts `duration`, saturating at the machine's start.
+    pub fn minus(self, duration: Duration) -> BootInstant {
+        BootInstant(self.0.saturating_sub(duration.as_micros() as u64))
     }
 }
--- a/crates/gullspar_border/src/burn_series.rs
+++ b/crates/gullspar_border/src/burn_series.rs
@@ -1,9 +1,9 @@
-//! Requests by minute, from which burn rates are told.
+//! Request counts by minute, from which burn rates are calculated.
 
 use gullspar_model::record;
 
 record! {
-    /// Requests of one minute by outcome.
+    /// Number of requests in one minute, by outcome.
     #[derive(Copy, Default)]
     pub struct MinuteCount {
         pub good: u32,
@@ -14,9 +14,9 @@
 }
 
 record! {
-    /// Failed requests that were last tried at one target.
+    /// Number of requests that failed at one target, for one reason.
     pub struct TargetFailureCount {
-        /// `group/member`, or empty where no target was found.
+        /// The target that was tried last, as `group/member`; empty if none was found.
         pub target: String,
         pub reason: String,
         pub count: u64,
@@ -24,26 +24,26 @@
 }
 
 record! {
-    /// One service and class at one instance or, added up, at all.
+    /// Request counts of one service and class, of one instance or summed over all.
     pub struct BurnSeries {
         pub service: String,
         pub class: String,
         /// Share of requests that must be answered in time, in parts per million.
         pub objective_ppm: u64,
-        /// The present minute first, then backwards.
+        /// The current minute first, then the preceding ones.
         pub minutes: Vec<MinuteCount>,
-        /// Of the last hour, the most frequent first.
+        /// Failures of the last hour, the most frequent first.
         pub blames: Vec<TargetFailureCount>,
     }
 }
 
 impl MinuteCount {
-    /// Requests that broke the objective.
+    /// Number of requests that missed the objective.
     pub fn bad(&self) -> u64 {
         u64::from(self.late) + u64::from(self.not_run) + u64::from(self.unknown)
     }
 
-    /// All requests.
+    /// Number of all requests.
     pub fn total(&self) -> u64 {
         u64::from(self.good) + self.bad()
     }
@@ -65,14 +65,14 @@
         for (own, other) in self.minutes.iter_mut().zip(&other.minutes) {
             own.add(other);
         }
-        for blame in &other.blames {
-            let known = self
+        for failures in &other.blames {
+            let existing = self
                 .blames
                 .iter_mut()
-                .find(|it| it.target == blame.target && it.reason == blame.reason);
-            match known {
-                Some(known) => known.count += blame.count,
-                None => self.blames.push(blame.clone()),
+                .find(|it| it.target == failures.target && it.reason == failures.reason);
+            match existing {
+                Some(existing) => existing.count += failures.count,
+                None => self.blames.push(failures.clone()),
             }
         }
         self.blames.sort_by_key(|it| std::cmp::Reverse(it.count));
--- a/crates/gullspar_border/src/clock.rs
+++ b/crates/gullspar_border/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time, as instances see it.
+//! The clock of an instance.
 
 use std::future::Future;
 use std::time::Instant;
@@ -9,27 +9,27 @@
 
 /// A monotonic clock.
 ///
-/// Deadlines are instants; nothing stores a duration. See `docs/design/time.md` for why no
-/// safety argument rests on this clock.
+/// Time limits are passed as deadlines, not as durations. Safety must not depend on this clock, see
+/// `docs/design/time.md`.
 pub trait Clock {
-    /// The present instant.
+    /// Returns the current instant.
     fn now(&self) -> Instant;
 
-    /// The present instant on a clock that also counts the time during which the machine was suspended.
+    /// Returns the current instant of a clock that also runs while the machine is suspended.
     fn boot_now(&self) -> BootInstant;
 
     /// Waits until `deadline`; returns at once if it has passed.
     fn sleep_until(&self, deadline: Instant) -> LocalBoxFuture<'static, ()>;
 }
 
-/// A deadline passed before the awaited thing happened.
+/// The deadline passed before the future completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeadlinePassed;
 
-/// Awaits `fut`, but no longer than until `deadline`.
+/// Awaits `fut` until `deadline` at the latest.
 ///
-/// The future is dropped when time is up. A read that is dropped may have taken bytes with it, so
-/// whoever times out a read on a [`Link`](crate::Link) must not use that link again.
+/// The future is dropped at the deadline. Dropping a read may lose bytes, so a [`Link`](crate::Link) must not be
+/// used again after a read on it has timed out.
 pub async fn within<F: Future>(
     clock: &dyn Clock,
     deadline: Instant,
--- a/crates/gullspar_border/src/instance_report.rs
+++ b/crates/gullspar_border/src/instance_report.rs
@@ -5,7 +5,7 @@
 use crate::{ConfigEntry, MemberReport, OutcomeCount};
 
 record! {
-    /// What an instance says of itself to operators.
+    /// The state of an instance, as it reports it to operators.
     pub struct InstanceReport {
         pub id: InstanceId,
         pub data_centre: DataCentre,
--- a/crates/gullspar_border/src/lib.rs
+++ b/crates/gullspar_border/src/lib.rs
@@ -1,7 +1,8 @@
-//! The borders of an instance: everything outside of it is met through one of these traits.
+//! Interfaces between an instance and its environment: time, randomness, connections, other instances and the
+//! platform.
 //!
-//! A test or a bench attaches here. Every decision (route, admit, retry, promote, apply) reaches the
-//! world through them, and nothing goes round.
+//! All input and output of an instance goes through these traits, so that tests and benchmarks can replace its
+//! environment.
 
 mod boot_instant;
 mod burn_series;
--- a/crates/gullspar_border/src/link.rs
+++ b/crates/gullspar_border/src/link.rs
@@ -9,28 +9,28 @@
 
 /// One connected byte stream.
 pub trait Link {
-    /// Sends all of `buf` and gives it back empty, so that its memory is used again.
+    /// Sends all of `buf` and returns it empty, so that its memory can be reused.
     fn send(&mut self, buf: BytesMut) -> LocalBoxFuture<'_, io::Result<BytesMut>>;
 
-    /// Appends what arrives next to `buf`; an unchanged `buf` means that the other side closed.
+    /// Appends the bytes received next to `buf`; if it is unchanged, the other side has closed the stream.
     ///
-    /// A future dropped half way goes on inside the link: the next call takes it up, gives the buffer
-    /// of the first call, and drops its own, which must therefore be empty.
+    /// Dropping the future does not cancel the read. The next call continues it, returns the buffer of the
+    /// first call and drops its own, which must therefore be empty.
     fn recv(&mut self, buf: BytesMut) -> LocalBoxFuture<'_, io::Result<BytesMut>>;
 
-    /// Ends our direction; the other side reads the end of the stream after what was sent.
+    /// Closes the sending direction; the other side reads the end of the stream after all data sent.
     fn close_write(&mut self) -> LocalBoxFuture<'_, io::Result<()>>;
 
-    /// Whether nothing has arrived, the end of the stream included, at this moment.
+    /// Whether neither data nor the end of the stream is waiting to be read.
     ///
-    /// A connection that the other side closed while it lay idle is noticed here, before a write is
-    /// sent on it whose outcome would be unknown.
+    /// Detects an idle connection that the other side has closed, before a write is sent on it whose outcome
+    /// would be unknown.
     fn is_quiet(&self) -> bool;
 }
 
 /// Opens links to targets and to the lanes of other instances.
 pub trait Dialer {
-    /// Connects to `address`, giving up at `deadline`.
+    /// Connects to `address`; fails at `deadline`.
     fn dial(
         &self,
         address: SocketAddr,
--- a/crates/gullspar_border/src/member_report.rs
+++ b/crates/gullspar_border/src/member_report.rs
@@ -1,4 +1,4 @@
-//! A target in an instance's report.
+//! A member in an instance's report.
 
 use gullspar_model::{GroupName, MemberName, MemberStatus, record};
 
@@ -7,10 +7,11 @@
     pub struct MemberReport {
         pub group: GroupName,
         pub member: MemberName,
+        /// The last status received.
         pub status: Option<MemberStatus>,
         /// Milliseconds since the last answer.
         pub silent_ms: Option<u64>,
-        /// Age bound of its data in milliseconds, where one is known.
+        /// Upper bound of the age of its data in milliseconds, if known.
         pub age_ms: Option<u64>,
         pub connections: u32,
         pub busy_slots: u32,
--- a/crates/gullspar_border/src/outcome_count.rs
+++ b/crates/gullspar_border/src/outcome_count.rs
@@ -1,12 +1,13 @@
-//! Requests by outcome.
+//! Request counts by outcome.
 
 use gullspar_model::record;
 
 record! {
-    /// Requests of one service and class by outcome, since the instance started.
+    /// Number of requests of one service and class since the instance started, by outcome.
     pub struct OutcomeCount {
         pub service: String,
         pub class: String,
+        /// Share of requests that must be answered in time, in parts per million.
         pub objective_ppm: u64,
         pub done: u64,
         pub late: u64,
@@ -19,7 +20,7 @@
 }
 
 impl OutcomeCount {
-    /// No requests so far.
+    /// Creates a count of zero requests.
     pub fn empty(service: &str, class: &str) -> OutcomeCount {
         OutcomeCount {
             service: service.to_owned(),
--- a/crates/gullspar_border/src/peers.rs
+++ b/crates/gullspar_border/src/peers.rs
@@ -13,23 +13,23 @@
 record! {
     /// A call to another instance.
     pub enum PeerRequest {
-        /// Exchanges membership news; the answer carries what the caller seems not to know.
+        /// Exchanges membership updates; the answer holds those that the sender seems not to know.
         Exchange { from: InstanceRecord, updates: Vec<InstanceRecord>, config_digest: u64 },
-        /// Asks to probe a third instance on the caller's behalf.
+        /// Asks the receiver to probe a third instance on the sender's behalf.
         Probe { peer: SocketAddr },
-        /// Asks for all configuration newer than what the caller has.
+        /// Asks for all configuration objects newer than those that the sender has.
         Pull { known: Vec<(String, ObjectVersion)> },
-        /// Hands out changed configuration; with `forward` the receiver hands it on in its data centre.
+        /// Sends changed configuration; with `forward`, the receiver forwards it within its data centre.
         Push { entries: Vec<ConfigEntry>, forward: bool },
-        /// Asks whether the primary of a term seems to have failed.
+        /// Asks whether the primary of `term` has failed from the receiver's point of view.
         ViewOfPrimary { group: GroupName, term: Term },
-        /// Cancels the statement that a lane is running.
+        /// Cancels the statement that runs on a lane.
         CancelLane { lane: u64 },
-        /// Cancels for a caller whose cancel request arrived at another instance.
+        /// Forwards a caller's cancel request, with the process id and the secret of the session to cancel.
         CancelCaller { process: i32, secret: i32 },
         /// Asks for a report for operators.
         Report,
-        /// Asks for requests by minute.
+        /// Asks for request counts by minute.
         Burn,
     }
 }
@@ -51,7 +51,7 @@
     /// Why a call to another instance failed.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum PeerError {
-        /// No answer in time, or the connection broke; the call may have been carried out.
+        /// No answer was received before the deadline; the call may have been executed.
         NoAnswer(reason: String) {
             display("no answer from the instance: {reason}")
         }
@@ -59,7 +59,7 @@
 }
 
 impl PeerError {
-    /// No answer came, for this reason.
+    /// Creates a [`PeerError::NoAnswer`].
     pub fn no_answer(reason: impl ToString) -> PeerError {
         PeerError::NoAnswer(reason.to_string())
     }
@@ -67,7 +67,7 @@
 
 /// Calls other instances.
 pub trait Peers {
-    /// Sends `req` to the instance at `to` and waits for its reply until `deadline`.
+    /// Sends `req` to the instance at `to` and waits for the reply until `deadline`.
     fn call(
         &self,
         to: SocketAddr,
@@ -76,8 +76,8 @@
     ) -> LocalBoxFuture<'static, Result<PeerReply, PeerError>>;
 }
 
-/// Answers the calls of other instances.
+/// Handles the calls of other instances.
 pub trait PeerHandler {
-    /// Answers one call.
+    /// Handles one call and returns the reply.
     fn handle(self: Rc<Self>, req: PeerRequest) -> LocalBoxFuture<'static, PeerReply>;
 }
--- a/crates/gullspar_border/src/platform.rs
+++ b/crates/gullspar_border/src/platform.rs
@@ -1,17 +1,17 @@
-//! The platform's object API.
+//! Interface of the platform's object store.
 
 use futures::future::LocalBoxFuture;
 use gullspar_model::{InstanceId, record, value};
 use quick_error::quick_error;
 
 value! {
-    /// The version of an object; 0 stands for an object that isn't there.
+    /// The version of an object; 0 if the object does not exist.
     #[derive(Default)]
     pub struct ObjectVersion(pub u64);
 }
 
 record! {
-    /// An object as the platform holds it.
+    /// An object as stored on the platform.
     pub struct StoredObject {
         pub key: String,
         pub version: ObjectVersion,
@@ -21,20 +21,20 @@
 }
 
 record! {
-    /// What a watch brought.
+    /// The answer to a watch.
     pub struct WatchReply {
-        /// Pass this to the next watch.
+        /// The revision to pass to the next watch.
         pub revision: u64,
-        /// The objects under the prefix that changed since the revision asked for.
+        /// The objects under the prefix that changed after the requested revision.
         pub changed: Vec<StoredObject>,
     }
 }
 
 record! {
-    /// An entry of the platform's list of instances, which lags behind reality.
+    /// An entry of the platform's list of instances, which may be out of date.
     pub struct PlatformInstance {
         pub id: InstanceId,
-        /// Where the instance answers other instances.
+        /// The address on which the instance accepts calls of other instances.
         pub peer: std::net::SocketAddr,
         pub leaving: bool,
     }
@@ -44,7 +44,7 @@
     /// Why a call to the platform failed.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum PlatformError {
-        /// The version was not the expected one; the call had no effect.
+        /// The object is not at the expected version; the call had no effect.
         Conflict(actual: ObjectVersion) {
             display("the object is at version {}", actual.0)
         }
@@ -52,14 +52,14 @@
         Refused(reason: String) {
             display("the platform refused: {reason}")
         }
-        /// No answer came: the call may have taken effect, and must be read back.
+        /// No answer was received. The call may have taken effect; read the object to find out.
         NoAnswer(reason: String) {
             display("no answer from the platform: {reason}")
         }
     }
 }
 
-/// The platform's store of configuration, status and objects of our own kinds.
+/// The platform's store of configuration, status and the project's own objects.
 pub trait Platform {
     /// Reads one object.
     fn get<'a>(
@@ -67,7 +67,7 @@
         key: &'a str,
     ) -> LocalBoxFuture<'a, Result<Option<StoredObject>, PlatformError>>;
 
-    /// Writes an object if it is at `expected`; gives the new version.
+    /// Writes an object if it is at version `expected`; returns the new version.
     fn put<'a>(
         &'a self,
         key: &'a str,
@@ -75,7 +75,7 @@
         value: String,
     ) -> LocalBoxFuture<'a, Result<ObjectVersion, PlatformError>>;
 
-    /// Waits up to `wait_ms` for changes under `prefix` after `revision`.
+    /// Waits up to `wait_ms` milliseconds for changes under `prefix` after `revision`.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
@@ -83,6 +83,6 @@
         wait_ms: u64,
     ) -> LocalBoxFuture<'a, Result<WatchReply, PlatformError>>;
 
-    /// Lists live and leaving instances.
+    /// Lists the instances that are running or leaving.
     fn instances(&self) -> LocalBoxFuture<'_, Result<Vec<PlatformInstance>, PlatformError>>;
 }
