--- a/crates/gullspar_model/src/access.rs
+++ b/crates/gullspar_model/src/access.rs
@@ -1,9 +1,9 @@
-//! Whether a statement only reads.
+//! Read and write access of statements.
 
 crate::value! {
-    /// What a statement may do to its target.
+    /// Whether a statement only reads or may also write.
     ///
-    /// Whatever is not understood counts as a write, see `docs/design/sessions.md`.
+    /// A statement that can't be classified counts as a write, see `docs/design/sessions.md`.
     pub enum Access {
         Read,
         Write,
--- a/crates/gullspar_model/src/caller_class.rs
+++ b/crates/gullspar_model/src/caller_class.rs
@@ -1,15 +1,15 @@
-//! How fresh, how soon and how important: what operators state for each kind of caller.
+//! Consistency, deadline and priority of a class of callers, as configured by operators.
 
 crate::record! {
-    /// What a caller of this class may see in a read.
+    /// How current the data in a caller's reads must be.
     #[derive(Copy)]
     #[serde(rename_all = "snake_case")]
     pub enum Consistency {
-        /// Every read sees the caller's own earlier writes.
+        /// A read sees all earlier writes of the caller itself.
         ReadYourWrites,
-        /// A read may be as old as this many milliseconds.
+        /// A read may return data up to this many milliseconds old.
         MaxAgeMs(u64),
-        /// Any replica will do.
+        /// A read may return data of any age.
         AnyAge,
     }
 }
@@ -22,7 +22,7 @@
         pub consistency: Consistency,
         /// Time within which a request must be answered, in milliseconds.
         pub deadline_ms: u64,
-        /// 0 is the strictest; under overload the highest number is shed first.
+        /// 0 is the highest priority; under overload, requests with the highest number are rejected first.
         pub priority: u8,
         /// Share of requests that must be answered in time, in parts per million.
         #[serde(default = "default_objective_ppm")]
@@ -30,12 +30,12 @@
     }
 }
 
-/// 99.9 %.
+/// 99.9 %, in parts per million.
 fn default_objective_ppm() -> u64 {
     999_000
 }
 
 impl CallerClass {
-    /// Lower bound of the priority value that may be shed first.
+    /// The largest value of `priority`, which is the lowest priority.
     pub const LOWEST_PRIORITY: u8 = 3;
 }
--- a/crates/gullspar_model/src/fence.rs
+++ b/crates/gullspar_model/src/fence.rs
@@ -1,24 +1,24 @@
-//! What a member decides when it is asked to refuse lower terms.
+//! A member's decision on a request to refuse lower terms.
 
 use crate::Term;
 
 crate::value! {
-    /// The answer of a member to a fence.
+    /// A member's answer to a fence request.
     pub enum FenceDecision {
-        /// The member refuses every lower term from now on.
+        /// The member now refuses all lower terms.
         Fenced,
-        /// A higher fence was there already.
+        /// The member was already fenced at the higher term `fence`.
         Refused { fence: Term },
     }
 }
 
 impl FenceDecision {
-    /// Decides on a fence at `asked` for a member already fenced at `current`.
+    /// Decides on a fence at `requested` for a member that is fenced at `current`.
     ///
-    /// An equal term is accepted again: only one claimant holds a term, so it is that claimant
-    /// repeating a fence whose answer was lost.
-    pub fn decide(current: Term, asked: Term) -> FenceDecision {
-        if asked >= current {
+    /// An equal term is accepted: only one claimant holds a term, so that claimant is repeating a request whose
+    /// answer was lost.
+    pub fn decide(current: Term, requested: Term) -> FenceDecision {
+        if requested >= current {
             FenceDecision::Fenced
         } else {
             FenceDecision::Refused { fence: current }
--- a/crates/gullspar_model/src/group_object.rs
+++ b/crates/gullspar_model/src/group_object.rs
@@ -1,28 +1,28 @@
-//! The platform's object for a group: who leads and who may promote.
+//! The platform's object for a group: its primary and the claim to promote another one.
 
 use crate::{LogPoint, MemberName, Term};
 
 crate::record! {
-    /// Where a term's own records begin.
+    /// The point in the log after which a term's records start.
     #[derive(Copy)]
     pub struct TermStart {
         pub term: Term,
-        /// The end of the log that the term took over: the term of its last record, and its position.
+        /// The end of the log that the term continued: the term and position of its last record.
         pub after: LogPoint,
     }
 }
 
 crate::record! {
-    /// The leadership of a group. Every change is a conditional update.
+    /// The leadership of a group. It is only changed by conditional updates.
     pub struct GroupObject {
-        /// The highest term claimed; the claimant alone may promote under it.
+        /// The highest term claimed; only the claimant may promote under it.
         pub claimed: Term,
-        /// Unique for each claim, so that a claimant whose answer was lost knows its own.
+        /// Unique id of the claim, by which a claimant recognizes its own claim if the answer was lost.
         pub claim: String,
         /// The term under which `primary` leads.
         pub term: Term,
         pub primary: Option<MemberName>,
-        /// Newest last, the last few only.
+        /// The most recent starts of terms, newest last; at most [`GroupObject::HISTORY_LIMIT`].
         pub history: Vec<TermStart>,
     }
 }
@@ -31,19 +31,19 @@
     /// Key prefix of group objects on the platform.
     pub const PREFIX: &'static str = "gullspar/groups/";
 
-    /// Starts of terms that are kept, so that the object stays small.
+    /// Maximum length of `history`, which bounds the size of the object.
     pub const HISTORY_LIMIT: usize = 16;
 
-    /// Whether the record at `point`, written under `point.term`, is part of the present log.
+    /// Whether the record at `point`, written under `point.term`, is part of the current log.
     ///
-    /// The first later term tells: it took over a log that ends with a record of that very term and
-    /// reaches as far, or the record is gone. `None` if a term in between left no trace here.
+    /// The record is kept if the log that the next later term continued ends in `point.term` at or after the
+    /// record. `None` if the history does not contain the terms needed to tell.
     pub fn is_in_current_log(&self, point: LogPoint) -> Option<bool> {
         let next = self.history.iter().find(|it| it.term > point.term)?;
         (next.after.term <= point.term).then_some(next.after >= point)
     }
 
-    /// A group that nobody has led yet.
+    /// Creates the object of a group that has never had a primary.
     pub fn unclaimed() -> GroupObject {
         GroupObject {
             claimed: Term(0),
--- a/crates/gullspar_model/src/group_spec.rs
+++ b/crates/gullspar_model/src/group_spec.rs
@@ -1,4 +1,4 @@
-//! A database group as the operators describe it.
+//! A database group as configured by operators.
 
 use crate::{GroupName, MemberName, MemberSpec};
 
@@ -12,12 +12,12 @@
 }
 
 impl GroupSpec {
-    /// How many members make a majority.
+    /// Number of members that make a majority.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// The member called `name`.
+    /// Returns the member with this name.
     pub fn member(&self, name: &MemberName) -> Option<&MemberSpec> {
         self.members.iter().find(|it| &it.name == name)
     }
--- a/crates/gullspar_model/src/instance_record.rs
+++ b/crates/gullspar_model/src/instance_record.rs
@@ -1,29 +1,30 @@
-//! What instances know of each other.
+//! Membership records that instances exchange about each other.
 
 use std::net::SocketAddr;
 
 use crate::{DataCentre, InstanceId};
 
 crate::value! {
-    /// Whether an instance takes part.
+    /// The state of an instance in the membership.
     pub enum InstanceState {
         Alive,
-        /// Did not answer; declared dead unless it objects in time.
+        /// It did not answer; it is declared dead unless it refutes this in time.
         Suspect,
-        /// Finishes what it has and takes nothing new.
+        /// It completes its current work and accepts no new work.
         Leaving,
         Dead,
     }
 }
 
 crate::record! {
-    /// One instance as seen by the others; the higher incarnation wins, then the worse state.
+    /// One instance as seen by the others. The higher incarnation wins; at equal incarnations, the later state in
+    /// the order of [`InstanceState`] wins.
     pub struct InstanceRecord {
         pub id: InstanceId,
         pub data_centre: DataCentre,
-        /// Where it answers other instances.
+        /// The address on which it accepts calls of other instances.
         pub peer: SocketAddr,
-        /// Where it accepts lanes, see `docs/design/scarce-connections.md`.
+        /// The address on which it accepts lanes, see `docs/design/scarce-connections.md`.
         pub lane: SocketAddr,
         pub incarnation: u64,
         pub state: InstanceState,
@@ -31,12 +32,12 @@
 }
 
 impl InstanceRecord {
-    /// Whether this record says something newer than `other` about the same instance.
+    /// Whether this record replaces `other`, a record of the same instance.
     pub fn is_newer_than(&self, other: &InstanceRecord) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
 
-    /// Whether new work may go there.
+    /// Whether the instance may be given new work.
     pub fn can_accept_work(&self) -> bool {
         matches!(self.state, InstanceState::Alive | InstanceState::Suspect)
     }
--- a/crates/gullspar_model/src/lib.rs
+++ b/crates/gullspar_model/src/lib.rs
@@ -1,6 +1,6 @@
-//! The words of gullspar: names, positions, tokens, outcomes and the objects kept on the platform.
+//! Data types shared by all crates: names, log positions, tokens, outcomes and the objects stored on the platform.
 //!
-//! Nothing in here does input or output; every other package speaks in these types.
+//! This crate does no input or output.
 //! The terms are explained in `docs/GLOSSARY.md`.
 
 mod access;
--- a/crates/gullspar_model/src/log_point.rs
+++ b/crates/gullspar_model/src/log_point.rs
@@ -1,7 +1,7 @@
 //! Terms and positions of a group's log.
 
 crate::value! {
-    /// The number of a leadership period; the platform hands each out once.
+    /// The number of a leadership period; the platform assigns each number only once.
     #[derive(Default)]
     pub struct Term(pub u64);
 }
@@ -15,8 +15,8 @@
 crate::value! {
     /// A position together with the term under which it was read.
     ///
-    /// Ordered by term, then position: of two logs the one with the greater point at its end
-    /// holds every record that a majority has seen. See `docs/design/acknowledgement.md`.
+    /// Ordered by term, then position. Of two logs, the one that ends at the greater point holds every record
+    /// that a majority has. See `docs/design/acknowledgement.md`.
     #[derive(Default)]
     pub struct LogPoint {
         pub term: Term,
@@ -25,14 +25,14 @@
 }
 
 impl Term {
-    /// The term that a claimant asks for after this one.
+    /// Returns the next term, which a claimant asks for.
     pub fn next(self) -> Term {
         Term(self.0 + 1)
     }
 }
 
 impl LogPoint {
-    /// Joins a term and a position.
+    /// Creates a point from a term and a position.
     pub fn new(term: u64, position: u64) -> LogPoint {
         LogPoint { term: Term(term), position: LogPosition(position) }
     }
--- a/crates/gullspar_model/src/names.rs
+++ b/crates/gullspar_model/src/names.rs
@@ -1,4 +1,4 @@
-//! Names as shared immutable strings, one type for each kind of thing named.
+//! Names as shared immutable strings, one type for each kind of name.
 
 macro_rules! name {
     ($(#[$meta:meta])* $name:ident) => {
@@ -8,12 +8,12 @@
         pub struct $name(arcstr::ArcStr);
 
         impl $name {
-            /// Shares `text` as a name of this kind.
+            /// Creates a name from `text`.
             pub fn new(text: impl AsRef<str>) -> $name {
                 $name(arcstr::ArcStr::from(text.as_ref()))
             }
 
-            /// The name as written in settings and on the platform.
+            /// Returns the name as written in settings and on the platform.
             pub fn as_str(&self) -> &str {
                 self.0.as_str()
             }
@@ -34,11 +34,11 @@
 }
 
 name!(
-    /// A data centre: the unit within which instances and targets reach each other cheaply.
+    /// A data centre, within which instances and targets reach each other with low latency.
     DataCentre
 );
 name!(
-    /// A service: what callers name as their database when they connect.
+    /// A service; callers give its name as their database when they connect.
     ServiceName
 );
 name!(
@@ -46,7 +46,7 @@
     GroupName
 );
 name!(
-    /// A member of a group, unique within it; the target that callers' statements run on.
+    /// A member of a group, unique within it: a target on which callers' statements run.
     MemberName
 );
 name!(
@@ -54,11 +54,11 @@
     InstanceId
 );
 name!(
-    /// What a caller, or gullspar itself, calls one statement by.
+    /// The id of one statement, chosen by the caller or, for its own statements, by gullspar.
     RequestId
 );
 name!(
-    /// A customer: who pays for a caller's operations, and whose limits they count against.
+    /// A customer, who pays for its callers' operations and against whose limits they count.
     CustomerName
 );
 name!(
--- a/crates/gullspar_model/src/outcome.rs
+++ b/crates/gullspar_model/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The three outcomes of a request, never mixed: done, not run, unknown.
+//! The three outcomes of a request: done, not run, unknown.
 
 use crate::LogPoint;
 
@@ -6,49 +6,49 @@
 pub type SqlState = &'static str;
 
 crate::record! {
-    /// Why a request certainly did not run. Each is safe to retry as far as the data is concerned.
+    /// Why a request certainly had no effect. In each case it is safe to run it again.
     #[derive(Copy)]
     pub enum NotRun {
-        /// The asked instance is not the home of that target.
+        /// The instance that was asked is not the home of the target.
         NotHome,
-        /// The target does not lead; the request belongs to another one.
+        /// The target is not its group's primary, which the request needs.
         NotPrimary,
-        /// No primary is known at the moment.
+        /// No primary of the group is currently known.
         NoPrimary,
-        /// A majority of the group is out of sight, so a write could not be acknowledged.
+        /// No majority of the group is reachable, so a write could not be acknowledged.
         NoMajority,
         /// The replica has not reached the floor or is older than the class allows.
         Behind,
         /// The queue is too long to answer in time.
         Overloaded { retry_after_ms: u64 },
-        /// The customer has had as many operations run as it may.
+        /// The customer has reached its limit of operations.
         OverLimit { retry_after_ms: u64 },
         /// The deadline passed before the request reached a target.
         DeadlinePassed,
-        /// No connection to the target or its home could be made.
+        /// Connecting to the target or its home failed.
         Unreachable,
         /// The instance is shutting down.
         Leaving,
-        /// The connection was lost before the transaction reached its commit.
+        /// The connection was lost before the transaction could commit.
         ConnectionLost,
-        /// The primary failed before a majority had the write, and the group's log does not hold it.
+        /// The primary failed before a majority had the write, and the group's current log does not contain it.
         Undone,
-        /// The pinned target connection is gone, and with it the transaction.
+        /// The target connection of the transaction was lost, and with it the transaction.
         TransactionLost,
     }
 }
 
 crate::record! {
-    /// Why it can't be told whether a request ran.
+    /// Why it is not known whether a request took effect.
     #[derive(Copy)]
     pub enum Unknown {
-        /// The target went away after the request was sent.
+        /// The connection to the target was lost after the request was sent.
         ConnectionLost,
-        /// The write took effect on the primary, but no majority showed it in time.
+        /// The write took effect on the primary, but no majority confirmed it in time.
         NotAcknowledged,
         /// The term ended between the write and its acknowledgement.
         Superseded,
-        /// The answer did not come before the deadline.
+        /// No answer was received before the deadline.
         DeadlinePassed,
     }
 }
@@ -56,7 +56,8 @@
 crate::record! {
     /// How a request ended.
     pub enum Outcome {
-        /// It ran and, if it wrote, a majority holds it. `status` is the transaction status byte.
+        /// The request ran and, if it wrote, a majority has the write. `status` is the transaction status byte,
+        /// `point` the log position, `age_ms` the age bound of the data in milliseconds.
         Done { status: u8, point: Option<LogPoint>, age_ms: Option<u64> },
         NotRun(NotRun),
         Unknown(Unknown),
@@ -64,7 +65,7 @@
 }
 
 impl NotRun {
-    /// The SQLSTATE that callers see; listed in `docs/callers.md`.
+    /// Returns the SQLSTATE that callers get; listed in `docs/callers.md`.
     pub fn sql_state(self) -> SqlState {
         match self {
             NotRun::Overloaded { .. } | NotRun::OverLimit { .. } => "53400",
@@ -75,16 +76,16 @@
         }
     }
 
-    /// What went wrong, for people.
+    /// Describes the reason for callers and operators.
     pub fn text(self) -> &'static str {
         match self {
-            NotRun::NotHome => "the instance asked does not hold that target's connections",
-            NotRun::NotPrimary => "the target does not lead its group",
+            NotRun::NotHome => "the instance asked does not hold the target's connections",
+            NotRun::NotPrimary => "the target is not the primary of its group",
             NotRun::NoPrimary => "no primary of the group is known",
-            NotRun::NoMajority => "a majority of the group is out of sight",
-            NotRun::Behind => "no target within reach is fresh enough",
+            NotRun::NoMajority => "no majority of the group is reachable",
+            NotRun::Behind => "no reachable target is fresh enough",
             NotRun::Overloaded { .. } => "the service is overloaded",
-            NotRun::OverLimit { .. } => "the customer is at its limit",
+            NotRun::OverLimit { .. } => "the customer has reached its limit",
             NotRun::DeadlinePassed => "the deadline passed before the request reached a target",
             NotRun::Unreachable => "no target could be reached",
             NotRun::Leaving => "the instance is shutting down",
@@ -94,7 +95,7 @@
         }
     }
 
-    /// When the caller should come back, in milliseconds.
+    /// Returns the time after which the caller should retry, in milliseconds.
     pub fn retry_after_ms(self) -> u64 {
         match self {
             NotRun::Overloaded { retry_after_ms } | NotRun::OverLimit { retry_after_ms } => {
@@ -105,17 +106,17 @@
         }
     }
 
-    /// Whether another target or a later moment may serve the same request.
+    /// Whether the request may succeed on another target or at a later time.
     pub fn can_retry_elsewhere(self) -> bool {
         !matches!(self, NotRun::DeadlinePassed | NotRun::TransactionLost)
     }
 }
 
 impl Unknown {
-    /// The SQLSTATE that callers see: `08007`, transaction resolution unknown.
+    /// The SQLSTATE that callers get: `08007`, transaction resolution unknown.
     pub const SQL_STATE: SqlState = "08007";
 
-    /// What went wrong, for people.
+    /// Describes the reason for callers and operators.
     pub fn text(self) -> &'static str {
         match self {
             Unknown::ConnectionLost => "the target was lost after the request was sent",
--- a/crates/gullspar_model/src/record.rs
+++ b/crates/gullspar_model/src/record.rs
@@ -1,9 +1,7 @@
-//! The derive sets that nearly every type of the project uses.
+//! Macros that add the derives used by most types of the project.
 
-/// Gives a plain data type the derives that the whole project expects of it.
-///
-/// One macro keeps the sets the same everywhere, so that any record can be compared in a test,
-/// printed in a log and sent to another instance.
+/// Declares a plain data type with the project's common derives, so that it can be compared in tests, printed in
+/// logs and sent to other instances.
 ///
 /// ```
 /// gullspar_model::record! {
@@ -26,7 +24,7 @@
     };
 }
 
-/// Like [`record!`], for small values that are copied, ordered and used as keys.
+/// Like [`record!`], for small types that are also copied, ordered and used as keys.
 #[macro_export]
 macro_rules! value {
     ($(#[$meta:meta])* $vis:vis $kind:ident $($rest:tt)*) => {
--- a/crates/gullspar_model/src/revision.rs
+++ b/crates/gullspar_model/src/revision.rs
@@ -1,10 +1,10 @@
-//! Positions in the history of the platform's store.
+//! Revisions of the platform's store.
 
 crate::value! {
-    /// The store's counter at some change, in one of its eras.
+    /// The store's change counter at one change, and the era to which it belongs.
     ///
-    /// A store that comes back from an older copy begins a new era and gives numbers out again: numbers of different
-    /// eras say nothing of each other.
+    /// A store that is restored from an older copy starts a new era and issues numbers again. Numbers of different
+    /// eras can't be compared with each other.
     #[derive(Default)]
     pub struct Revision {
         pub era: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Revision {
-    /// The revision `number` of `era`.
+    /// Creates a revision from an era and a number.
     pub fn new(era: u64, number: u64) -> Revision {
         Revision { era, number }
     }
--- a/crates/gullspar_model/src/service_object.rs
+++ b/crates/gullspar_model/src/service_object.rs
@@ -1,11 +1,11 @@
-//! The platform's object for a service: its whole configuration.
+//! The platform's object for a service, which holds its whole configuration.
 
 use std::collections::BTreeMap;
 
 use crate::{CallerClass, CallerName, GroupSpec};
 
 crate::record! {
-    /// An account and the class it belongs to.
+    /// An account, its class and its password verifier.
     #[serde(deny_unknown_fields)]
     pub struct CallerSpec {
         pub class: String,
@@ -15,17 +15,17 @@
 }
 
 crate::record! {
-    /// Everything that an instance needs to know to serve a service.
+    /// The configuration that an instance needs to serve a service.
     ///
-    /// One object, so that one conditional update changes it whole: there is no half-applied
-    /// configuration to resume, see `docs/design/configuration.md`.
+    /// It is a single object, so that a conditional update changes all of it at once and no change is ever applied
+    /// in part; see `docs/design/configuration.md`.
     #[serde(deny_unknown_fields)]
     pub struct ServiceObject {
         pub group: GroupSpec,
         pub classes: BTreeMap<String, CallerClass>,
         pub callers: BTreeMap<CallerName, CallerSpec>,
-        /// The id of the plan whose confirmation wrote this version; tells a lost answer from a
-        /// lost update.
+        /// The id of the plan whose confirmation wrote this version. Distinguishes a lost answer from a lost
+        /// update.
         #[serde(default)]
         pub written_by: String,
     }
@@ -35,7 +35,7 @@
     /// Key prefix of service objects on the platform.
     pub const PREFIX: &'static str = "gullspar/services/";
 
-    /// The class of the account `caller`.
+    /// Returns the class of the account `caller`.
     pub fn class_of(&self, caller: &CallerName) -> Option<&CallerClass> {
         let spec = self.callers.get(caller)?;
         self.classes.get(&spec.class)
--- a/crates/gullspar_model/src/target_key.rs
+++ b/crates/gullspar_model/src/target_key.rs
@@ -1,4 +1,4 @@
-//! A target by its full name.
+//! The full name of a target.
 
 use crate::{GroupName, MemberName};
 
@@ -10,7 +10,7 @@
 }
 
 impl TargetKey {
-    /// Names `member` of `group`.
+    /// Creates the key of `member` of `group`.
     pub fn new(group: &GroupName, member: &MemberName) -> TargetKey {
         TargetKey { group: group.clone(), member: member.clone() }
     }
--- a/crates/gullspar_model/src/token_key.rs
+++ b/crates/gullspar_model/src/token_key.rs
@@ -9,38 +9,38 @@
     /// Why a token was refused.
     #[derive(Debug, PartialEq, Eq)]
     pub enum TokenError {
-        /// Not of the form `group:term:position:signature`.
+        /// The token does not have the form `group:term:position:signature`.
         Malformed {
             display("the token is not of the form group:term:position:signature")
         }
-        /// The signature does not match this caller.
+        /// The signature is not valid for this caller.
         Forged {
             display("the token was not issued to this caller")
         }
     }
 }
 
-/// The key shared by all instances with which tokens are signed.
+/// The key with which tokens are signed, shared by all instances.
 ///
-/// A token names a floor that reads wait for; a forged one could hold a caller's reads up for ever
-/// and one of another caller would tell how much that caller writes.
+/// A token sets the floor that reads wait for. A forged token could block a caller's reads permanently, and another
+/// caller's token would reveal how much that caller writes.
 #[derive(Clone)]
 pub struct TokenKey(Vec<u8>);
 
 impl TokenKey {
-    /// Takes the shared secret.
+    /// Creates a key from the shared secret.
     pub fn new(secret: &str) -> TokenKey {
         TokenKey(secret.as_bytes().to_vec())
     }
 
-    /// Writes `token` for `caller`.
+    /// Encodes and signs `token` for `caller`.
     pub fn issue(&self, token: &Token, caller: &CallerName) -> String {
         let body = format!("{}:{}:{}", token.group, token.point.term.0, token.point.position.0);
         let signature = self.sign(&body, caller);
         format!("{body}:{signature}")
     }
 
-    /// Reads a token back, if it was sealed for `caller`.
+    /// Decodes a token after checking that it was issued to `caller`.
     pub fn verify(&self, text: &str, caller: &CallerName) -> Result<Token, TokenError> {
         let (body, signature) = text.rsplit_once(':').ok_or(TokenError::Malformed)?;
         let mut parts = body.rsplitn(3, ':');
