--- a/crates/gullspar_settings/src/cores.rs
+++ b/crates/gullspar_settings/src/cores.rs
@@ -1,15 +1,15 @@
-//! A share of processor cores, as settings give it.
+//! A number of processor cores in settings.
 
 use serde::{Deserialize, Deserializer};
 
-/// Processor cores, with a fraction if need be, kept in thousandths.
+/// A number of processor cores, which may have a fraction; stored in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cores {
     thousandths: u32,
 }
 
 impl Cores {
-    /// Thousandths of a core.
+    /// Returns the number of cores in thousandths.
     pub fn thousandths(self) -> u32 {
         self.thousandths
     }
--- a/crates/gullspar_settings/src/direct_settings.rs
+++ b/crates/gullspar_settings/src/direct_settings.rs
@@ -8,8 +8,8 @@
 use crate::{Cores, Seconds};
 
 options! {
-    /// Everything that an instance must be told that opens its own connections to all targets; the rest
-    /// it learns from the platform and from other instances.
+    /// The settings of an instance that connects to all targets itself. It learns everything else from the
+    /// platform and from other instances.
     pub struct DirectSettings {
         /// Name of the instance, unique among all. A restart keeps the name.
         pub id: InstanceId,
@@ -25,8 +25,8 @@
         /// Address on which other instances send heartbeats and ask for configuration, the same port
         /// everywhere.
         pub peer_address: SocketAddr,
-        /// Addresses of a few instances to begin with; their port is taken to be that of
-        /// `peer_address`.
+        /// Addresses of a few instances to contact at the start. Their ports are ignored: the port of
+        /// `peer_address` is used.
         pub seeds: Vec<SocketAddr> = "[]",
         /// Address of the platform's store.
         pub store_address: SocketAddr,
@@ -34,12 +34,12 @@
         pub promotion_address: SocketAddr,
         /// Address of `/metrics`.
         pub metrics_address: SocketAddr,
-        /// Milliseconds for which the instance that promoted last in a group is alone in promoting there,
-        /// while it lives.
+        /// Milliseconds for which only the instance that last promoted in a group may promote there again,
+        /// as long as it is alive.
         pub claim_lease_ms: u64 = "3000",
-        /// Milliseconds after its announcement for which a target that leaves may be given new work.
+        /// Milliseconds for which a target may still get new work after it has announced that it is leaving.
         pub leaving_target_ms: u64 = "7000",
-        /// Seconds between being told to end and being killed.
+        /// Seconds between the signal to shut down and being killed.
         pub grace_s: Seconds = "6",
     }
 }
--- a/crates/gullspar_settings/src/finding.rs
+++ b/crates/gullspar_settings/src/finding.rs
@@ -1,8 +1,8 @@
-//! Something wrong in a settings file.
+//! Errors found in a settings file.
 
 use std::fmt;
 
-/// What is wrong and where; line and column count from one.
+/// One error and its place; line and column start at one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     pub line: usize,
@@ -10,7 +10,7 @@
     pub text: String,
 }
 
-/// All that is wrong in a file, in the order of the file.
+/// All errors found in a file, in the order in which they occur.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Findings {
     pub file: String,
--- a/crates/gullspar_settings/src/instance_settings.rs
+++ b/crates/gullspar_settings/src/instance_settings.rs
@@ -7,8 +7,7 @@
 use crate::options::options;
 
 options! {
-    /// Everything that one instance must be told; all else it learns from the platform and from other
-    /// instances.
+    /// The settings of one instance. It learns everything else from the platform and from other instances.
     pub struct InstanceSettings {
         /// Name of the instance, unique among all. A restart keeps the name.
         pub id: InstanceId,
@@ -26,16 +25,16 @@
         pub platform_address: SocketAddr,
         /// Peer addresses of a few instances to ask for the others at start.
         pub seeds: Vec<SocketAddr> = "[]",
-        /// Secret that instances greet each other with on lanes. The same everywhere.
+        /// Secret with which instances authenticate to each other on lanes. The same everywhere.
         pub lane_secret: String,
         /// Secret that session tokens are signed with. The same everywhere; a token signed with
         /// another one is refused.
         pub token_secret: String,
         /// Callers connected at once; more are refused with SQLSTATE 53300.
         pub caller_limit: u64 = "20000",
-        /// Milliseconds between two exchanges of membership news.
+        /// Milliseconds between two exchanges of membership updates.
         pub gossip_ms: u64 = "200",
-        /// Milliseconds that a target holds a status call back while nothing changes.
+        /// Milliseconds for which a target delays the answer to a status call while nothing changes.
         pub status_wait_ms: u64 = "100",
         /// Milliseconds of silence after which a primary counts as failed.
         pub failed_after_ms: u64 = "400",
--- a/crates/gullspar_settings/src/jsonc_file.rs
+++ b/crates/gullspar_settings/src/jsonc_file.rs
@@ -1,4 +1,4 @@
-//! A file of JSON with comments, whose properties know their place.
+//! A file of JSON with comments, whose properties keep their position.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -10,12 +10,13 @@
 
 use crate::{Finding, Findings};
 
+/// A property and the byte offset at which it starts.
 struct Property {
     offset: usize,
     value: serde_json::Value,
 }
 
-/// The properties of a file and what was found wrong so far.
+/// The properties of a file that were not read yet, and the errors found so far.
 pub struct JsoncFile {
     name: String,
     text: String,
@@ -24,7 +25,7 @@
 }
 
 impl JsoncFile {
-    /// Reads `text`, which stands in the file `name`.
+    /// Parses `text`, the content of the file `name`.
     pub fn parse(name: &str, text: &str) -> Result<JsoncFile, Findings> {
         let mut file = JsoncFile {
             name: name.to_owned(),
@@ -37,64 +38,64 @@
         match parsed.map(|it| it.value) {
             Ok(Some(Value::Object(object))) => {
                 for property in object.properties {
-                    file.take(property);
+                    file.add_property(property);
                 }
                 Ok(file)
             }
             Ok(_) => {
-                file.find(0, "the file must hold one object, { … }");
+                file.add_finding(0, "the file must hold one object, { … }");
                 Err(file.into_findings())
             }
             Err(err) => {
-                file.find(err.range().start, err.kind());
+                file.add_finding(err.range().start, err.kind());
                 Err(file.into_findings())
             }
         }
     }
 
-    fn take(&mut self, property: ObjectProp<'_>) {
+    fn add_property(&mut self, property: ObjectProp<'_>) {
         let name = property.name.as_str().to_owned();
         let offset = property.start();
         if self.properties.contains_key(&name) {
-            self.find(offset, format!("`{name}` is given twice"));
+            self.add_finding(offset, format!("`{name}` is given twice"));
             return;
         }
         let value = serde_json::Value::from(property.value);
         self.properties.insert(name, Property { offset, value });
     }
 
-    /// Notes something wrong at a byte offset.
-    fn find(&mut self, offset: usize, text: impl Display) {
+    /// Adds an error at a byte offset.
+    fn add_finding(&mut self, offset: usize, text: impl Display) {
         self.findings.push((offset, text.to_string()));
     }
 
-    /// Takes the option `name`; a missing or wrong one becomes a finding.
+    /// Reads the option `name`. A missing or invalid option is added to the findings.
     pub fn required<T: DeserializeOwned>(&mut self, name: &str) -> Option<T> {
         if !self.properties.contains_key(name) {
-            self.find(0, format!("`{name}` must be given"));
+            self.add_finding(0, format!("`{name}` must be given"));
             return None;
         }
         self.optional(name)
     }
 
-    /// Takes the option `name` if it is there; a wrong one becomes a finding.
+    /// Reads the option `name` if it is given. An invalid option is added to the findings.
     pub fn optional<T: DeserializeOwned>(&mut self, name: &str) -> Option<T> {
         let property = self.properties.remove(name)?;
         match serde_json::from_value(property.value) {
             Ok(value) => Some(value),
             Err(err) => {
-                self.find(property.offset, format!("`{name}`: {err}"));
+                self.add_finding(property.offset, format!("`{name}`: {err}"));
                 None
             }
         }
     }
 
-    /// Ends the reading: what nobody asked for is unknown.
+    /// Reports all options that were not read as unknown, and returns `settings` if there are no findings.
     pub fn finish<T>(mut self, known: &[&str], settings: Option<T>) -> Result<T, Findings> {
         for (name, property) in std::mem::take(&mut self.properties) {
-            let nearest = known.iter().find(|it| is_near(it, &name));
-            let hint = nearest.map_or(String::new(), |it| format!("; did you mean `{it}`?"));
-            self.find(property.offset, format!("unknown option `{name}`{hint}"));
+            let suggestion = known.iter().find(|it| is_similar(it, &name));
+            let hint = suggestion.map_or(String::new(), |it| format!("; did you mean `{it}`?"));
+            self.add_finding(property.offset, format!("unknown option `{name}`{hint}"));
         }
         match settings {
             Some(settings) if self.findings.is_empty() => Ok(settings),
@@ -118,8 +119,8 @@
     }
 }
 
-/// Whether two names differ by at most two letters in the same place or at the end.
-fn is_near(one: &str, other: &str) -> bool {
+/// Whether two names differ in at most two positions, and in length by at most two characters.
+fn is_similar(one: &str, other: &str) -> bool {
     let same = one.chars().zip(other.chars()).filter(|(a, b)| a == b).count();
     one.len().abs_diff(other.len()) <= 2 && same + 2 >= one.len().min(other.len())
 }
--- a/crates/gullspar_settings/src/lib.rs
+++ b/crates/gullspar_settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings: JSON with comments, checked as a whole, with every finding at its place.
+//! Settings files: JSON with comments. A file is checked as a whole, and every error is reported with its position.
 //!
-//! The reference in `docs/settings.md` is generated from the definitions in [`InstanceSettings`].
+//! The reference in `docs/settings.md` is generated from the definition of [`InstanceSettings`].
 
 mod cores;
 mod direct_settings;
--- a/crates/gullspar_settings/src/option_doc.rs
+++ b/crates/gullspar_settings/src/option_doc.rs
@@ -1,12 +1,12 @@
-//! The reference of options.
+//! The reference page of options.
 
-/// An option as the reference shows it.
+/// The documentation of one option.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OptionDoc {
     pub name: &'static str,
-    /// The comment at its definition.
+    /// The doc comment of its definition.
     pub text: &'static str,
-    /// `None` for an option that must be given.
+    /// The default as JSON; `None` for an option that must be given.
     pub default: Option<&'static str>,
 }
 
--- a/crates/gullspar_settings/src/options.rs
+++ b/crates/gullspar_settings/src/options.rs
@@ -1,8 +1,8 @@
-//! The macro with which options are defined, documented and read in one place.
+//! The macro that defines, documents and parses options.
 
 /// Defines a settings struct whose fields are options.
 ///
-/// An option is `name: Type` and must be given, or `name: Type = "default"` with the default as JSON.
+/// An option `name: Type` must be given; `name: Type = "default"` has a default, written as JSON.
 macro_rules! options {
     (
         $(#[doc = $struct_doc:literal])*
@@ -20,7 +20,7 @@
         }
 
         impl $name {
-            /// The options in the order of their definition.
+            /// Returns the options in the order of their definition.
             pub fn options() -> Vec<$crate::OptionDoc> {
                 vec![$($crate::OptionDoc {
                     name: stringify!($field),
@@ -29,7 +29,7 @@
                 }),*]
             }
 
-            /// Reads the settings from `text`, which stands in the file `file`.
+            /// Parses the settings from `text`, the content of the file `file`.
             pub fn parse(file: &str, text: &str) -> Result<$name, $crate::Findings> {
                 let known = [$(stringify!($field)),*];
                 let mut file = $crate::JsoncFile::parse(file, text)?;
--- a/crates/gullspar_settings/src/seconds.rs
+++ b/crates/gullspar_settings/src/seconds.rs
@@ -1,17 +1,17 @@
-//! A time in seconds, as settings give it.
+//! A duration in settings, given in seconds.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Deserializer};
 
-/// A time given in seconds, with a fraction if need be, and kept in whole milliseconds.
+/// A duration in seconds, which may have a fraction; stored in whole milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seconds {
     ms: u64,
 }
 
 impl Seconds {
-    /// The time itself.
+    /// Returns the duration.
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.ms)
     }
