--- a/crates/gullspar_telemetry/src/lib.rs
+++ b/crates/gullspar_telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! What operators see of a process: log lines that never hold it up, and metrics.
+//! Logging and metrics of a process. Writing log lines never blocks it.
 
 mod bounded_append;
 mod line_budget;
--- a/crates/gullspar_telemetry/src/line_budget.rs
+++ b/crates/gullspar_telemetry/src/line_budget.rs
@@ -1,43 +1,44 @@
-//! How many lines of one event are written.
+//! Rate limit for the lines of one event.
 
 use std::time::{Duration, Instant};
 
-/// Lines of one event that may be written at once.
-const BURST: u32 = 400;
+/// Maximum number of lines of one event that may be written at once.
+const MAX_BURST: u32 = 400;
 
-/// Lines of one event that may be written each second in the long run.
+/// Lines of one event that may be written per second on average.
 ///
-/// A busy instance of today's size answers 60 to 200 statements a second and loses no line; lines take some
-/// 400 bytes, so that one event brings 160 KB a second at most.
-const PER_SECOND: u32 = 400;
+/// This is above the rate of statements of a busy instance, so no line is left out in normal operation. With lines
+/// of about 400 bytes it limits one event to 160 KB per second.
+const LINES_PER_SECOND: u32 = 400;
 
-/// A budget of lines that refills with time.
+/// A token bucket for the lines of one event.
 #[derive(Debug)]
 pub struct LineBudget {
-    left: u32,
+    available: u32,
     refilled_at: Instant,
     left_out: u64,
 }
 
 impl LineBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(now: Instant) -> LineBudget {
-        LineBudget { left: BURST, refilled_at: now, left_out: 0 }
+        LineBudget { available: MAX_BURST, refilled_at: now, left_out: 0 }
     }
 
-    /// Draws one line: `Some` if it may be written, with the number of lines left out since the last.
+    /// Consumes one line. Returns `None` if the line must be left out, otherwise the number of lines left out since
+    /// the last one written.
     pub fn try_consume(&mut self, now: Instant) -> Option<u64> {
-        let passed = now.saturating_duration_since(self.refilled_at);
-        let earned = (passed.as_micros() * u128::from(PER_SECOND) / 1_000_000) as u32;
-        if earned > 0 {
-            self.left = self.left.saturating_add(earned).min(BURST);
-            self.refilled_at += Duration::from_secs(1) / PER_SECOND * earned;
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        let refill = (elapsed.as_micros() * u128::from(LINES_PER_SECOND) / 1_000_000) as u32;
+        if refill > 0 {
+            self.available = self.available.saturating_add(refill).min(MAX_BURST);
+            self.refilled_at += Duration::from_secs(1) / LINES_PER_SECOND * refill;
         }
-        if self.left == 0 {
+        if self.available == 0 {
             self.left_out += 1;
             return None;
         }
-        self.left -= 1;
+        self.available -= 1;
         Some(std::mem::take(&mut self.left_out))
     }
 }
--- a/crates/gullspar_telemetry/src/line_writer.rs
+++ b/crates/gullspar_telemetry/src/line_writer.rs
@@ -1,4 +1,4 @@
-//! Writing lines without ever waiting for whoever reads them.
+//! Writes log lines without blocking the process on their reader.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -6,33 +6,34 @@
 use std::sync::mpsc::{self, Receiver, SyncSender, TrySendError};
 use std::time::{Duration, Instant};
 
-/// Lines that may wait for the writer.
-const QUEUE: usize = 4096;
+/// Maximum number of lines queued for the writer.
+const MAX_QUEUED_LINES: usize = 4096;
 
-/// Bytes that are written at once at most.
-const CHUNK: usize = 64 * 1024;
+/// A write takes no more lines once it has this many bytes.
+const MAX_CHUNK_SIZE: usize = 64 * 1024;
 
-/// How long lines are gathered before they are written, so that a busy process is not woken for each.
-const GATHER: Duration = Duration::from_millis(50);
+/// Time for which lines are collected before they are written, so that the writer does not wake up for each line.
+const COLLECT_PERIOD: Duration = Duration::from_millis(50);
 
-/// Bytes that are written at once without gathering more.
-const ENOUGH: usize = 8 * 1024;
+/// Number of bytes from which a chunk is written without collecting more lines.
+const MIN_CHUNK_SIZE: usize = 8 * 1024;
 
-/// Pause before a flush tries again to enter a full queue.
-const FULL_PAUSE: Duration = Duration::from_millis(5);
+/// Delay before a flush tries again to enter a full queue.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// How long the end of a process waits for the last lines.
-const FLUSH_WITHIN: Duration = Duration::from_millis(200);
+/// How long a flush waits for the queued lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Message {
     Line(Vec<u8>),
+    /// Replies once all lines queued before it are written.
     Flush(SyncSender<()>),
 }
 
-/// A thread that writes lines, and the queue before it.
+/// A queue of lines and the thread that writes them.
 ///
-/// A full pipe would stop a process that writes its log itself, and its callers with it. Here it costs
-/// lines, which are counted.
+/// If the process wrote its log directly, a full pipe would block it and its callers. With the queue, lines are
+/// dropped and counted instead.
 #[derive(Debug)]
 pub struct LineWriter {
     tx: SyncSender<Message>,
@@ -42,12 +43,12 @@
 impl LineWriter {
     /// Starts a thread that writes to `out`.
     pub fn start(out: impl Write + Send + 'static) -> LineWriter {
-        let (tx, rx) = mpsc::sync_channel(QUEUE);
+        let (tx, rx) = mpsc::sync_channel(MAX_QUEUED_LINES);
         std::thread::spawn(move || write_all(&rx, out));
         LineWriter { tx, lost: Arc::default() }
     }
 
-    /// Queues a line, or counts it as lost if the queue is full.
+    /// Queues a line. Drops it and counts it as lost if the queue is full.
     pub fn write(&self, line: Vec<u8>) {
         match self.tx.try_send(Message::Line(line)) {
             Ok(()) => {}
@@ -57,24 +58,24 @@
         }
     }
 
-    /// Lines that were lost since this was asked last.
+    /// Returns the number of lines lost since the last call.
     pub fn take_lost_count(&self) -> u64 {
         self.lost.swap(0, Ordering::Relaxed)
     }
 
-    /// Waits a little until all lines are written.
+    /// Waits until all queued lines are written, for a limited time.
     pub fn flush(&self) {
-        let deadline = Instant::now() + FLUSH_WITHIN;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
         let (tx, rx) = mpsc::sync_channel(1);
         let mut message = Message::Flush(tx);
-        while let Err(TrySendError::Full(back)) = self.tx.try_send(message) {
+        while let Err(TrySendError::Full(rejected)) = self.tx.try_send(message) {
             if Instant::now() >= deadline {
                 return;
             }
-            message = back;
-            std::thread::sleep(FULL_PAUSE);
+            message = rejected;
+            std::thread::sleep(RETRY_DELAY);
         }
-        // A reader that has gone must not keep the process from ending.
+        // A reader that no longer reads must not keep the process from exiting.
         let _ = rx.recv_timeout(deadline.saturating_duration_since(Instant::now()));
     }
 }
@@ -82,31 +83,34 @@
 fn write_all(rx: &Receiver<Message>, mut out: impl Write) {
     while let Ok(first) = rx.recv() {
         let mut chunk = Vec::new();
-        let mut flushed = take(first, &mut chunk).or_else(|| drain(rx, &mut chunk));
-        if flushed.is_none() && chunk.len() < ENOUGH {
-            std::thread::sleep(GATHER);
-            flushed = drain(rx, &mut chunk);
+        let mut flush_reply =
+            append_message(first, &mut chunk).or_else(|| append_queued(rx, &mut chunk));
+        if flush_reply.is_none() && chunk.len() < MIN_CHUNK_SIZE {
+            std::thread::sleep(COLLECT_PERIOD);
+            flush_reply = append_queued(rx, &mut chunk);
         }
-        // Nobody is left to tell that the log can't be written.
+        // A failure to write the log can't be reported anywhere.
         let _ = out.write_all(&chunk).and_then(|()| out.flush());
-        if let Some(tx) = flushed {
-            // Whoever waited may have given up.
+        if let Some(tx) = flush_reply {
+            // The flush may have timed out.
             let _ = tx.try_send(());
         }
     }
 }
 
-/// Takes what waits, up to a chunk or to a flush.
-fn drain(rx: &Receiver<Message>, chunk: &mut Vec<u8>) -> Option<SyncSender<()>> {
-    while chunk.len() < CHUNK {
-        if let Some(flushed) = take(rx.try_recv().ok()?, chunk) {
-            return Some(flushed);
+/// Appends queued lines until the chunk is full, the queue is empty or a flush is found, whose reply channel is
+/// returned.
+fn append_queued(rx: &Receiver<Message>, chunk: &mut Vec<u8>) -> Option<SyncSender<()>> {
+    while chunk.len() < MAX_CHUNK_SIZE {
+        if let Some(tx) = append_message(rx.try_recv().ok()?, chunk) {
+            return Some(tx);
         }
     }
     None
 }
 
-fn take(message: Message, chunk: &mut Vec<u8>) -> Option<SyncSender<()>> {
+/// Appends a line to `chunk`, or returns the reply channel of a flush.
+fn append_message(message: Message, chunk: &mut Vec<u8>) -> Option<SyncSender<()>> {
     match message {
         Message::Line(line) => {
             chunk.extend_from_slice(&line);
--- a/crates/gullspar_telemetry/src/metrics_registry.rs
+++ b/crates/gullspar_telemetry/src/metrics_registry.rs
@@ -1,4 +1,4 @@
-//! Metrics by OpenTelemetry, as Prometheus reads them.
+//! OpenTelemetry metrics, exported in the Prometheus format.
 
 use opentelemetry::metrics::{Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
@@ -9,23 +9,23 @@
     /// Why metrics can't be served.
     #[derive(Debug)]
     pub enum MetricsError {
-        /// The exporter could not be made or failed.
+        /// Creating the exporter or encoding the metrics failed.
         Exporter(reason: String) {
             display("the metrics exporter failed: {reason}")
         }
     }
 }
 
-/// All instruments of a process, and their page.
+/// The instruments of a process and their export.
 #[derive(Clone)]
 pub struct MetricsRegistry {
     registry: Registry,
-    /// Instruments live as long as their provider.
+    /// Kept because instruments only work as long as their provider exists.
     provider: SdkMeterProvider,
 }
 
 impl MetricsRegistry {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Result<MetricsRegistry, MetricsError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -37,12 +37,12 @@
         Ok(MetricsRegistry { registry, provider })
     }
 
-    /// Where instruments are made.
+    /// Returns the meter with which instruments are created.
     pub fn meter(&self) -> Meter {
         self.provider.meter("gullspar")
     }
 
-    /// All metrics as Prometheus text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn page(&self) -> Result<String, MetricsError> {
         let mut page = Vec::new();
         TextEncoder::new()
