--- a/crates/gullspar_border/src/lib.rs
+++ b/crates/gullspar_border/src/lib.rs
@@ -1,7 +1,8 @@
-//! The borders of an instance: everything outside of it is met through one of these traits.
+//! Interfaces between an instance and its environment: time, randomness, connections, other instances and the
+//! platform.
 //!
-//! A test or a bench attaches here. Every decision (route, admit, retry, promote, apply) reaches the
-//! world through them, and nothing goes round.
+//! All input and output of an instance goes through these traits, so that tests and benchmarks can replace its
+//! environment.
 
 mod boot_instant;
 mod burn_series;
@@ -15,10 +16,10 @@
 mod peers;
 mod platform;
 mod primary_view;
-mod watch_pace;
+mod watch_backoff;
 
 pub use boot_instant::BootInstant;
-pub use burn_series::{BurnSeries, MinuteCount, TargetBlame};
+pub use burn_series::{BurnSeries, MinuteCount, TargetFailureCount};
 pub use clock::{Clock, DeadlinePassed, within};
 pub use config_entry::ConfigEntry;
 pub use entropy::{Entropy, jittered};
@@ -31,4 +32,4 @@
     ObjectVersion, Platform, PlatformError, PlatformInstance, StoredObject, WatchReply,
 };
 pub use primary_view::PrimaryView;
-pub use watch_pace::WatchPace;
+pub use watch_backoff::WatchBackoff;
--- a/crates/gullspar_fleet/src/config_store.rs
+++ b/crates/gullspar_fleet/src/config_store.rs
@@ -50,7 +50,7 @@
     /// restore an old version.
     pub fn apply(&self, entry: &ConfigEntry) -> bool {
         let known = self.version(&entry.key);
-        if entry.version <= known && Guard::UpwardOnly.holds() {
+        if entry.version <= known && Guard::UpwardOnly.is_enabled() {
             return false;
         }
         if let Err(err) = self.parse_and_store(entry) {
--- a/crates/gullspar_fleet/src/config_sync.rs
+++ b/crates/gullspar_fleet/src/config_sync.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use gullspar_border::{ConfigEntry, PeerReply, PeerRequest, WatchPace, WatchReply, within};
+use gullspar_border::{ConfigEntry, PeerReply, PeerRequest, WatchBackoff, WatchReply, within};
 use gullspar_model::DataCentre;
 
 use crate::Fleet;
@@ -29,7 +29,7 @@
     pub(crate) async fn run_config(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut revision = 0;
-        let mut pace = WatchPace::default();
+        let mut backoff = WatchBackoff::default();
         loop {
             if !self.is_relay() {
                 revision = 0;
@@ -38,16 +38,18 @@
                 continue;
             }
             let sent_at = clock.now();
-            let wait_ms = pace.wait(self.timing.watch_timeout).as_millis() as u64;
+            let wait_ms = backoff.max_wait(self.timing.watch_timeout).as_millis() as u64;
             match self.borders.platform.watch(PREFIX, revision, wait_ms).await {
                 Ok(reply) => {
-                    pace.answered();
+                    backoff.record_answer();
                     revision = reply.revision;
                     self.apply_watch_reply(reply);
                 }
                 Err(err) => {
                     log::warn!("G0204 a watch on the platform failed: {err}");
-                    clock.sleep_until(pace.failed(sent_at, &*self.borders.entropy)).await;
+                    clock
+                        .sleep_until(backoff.record_failure(sent_at, &*self.borders.entropy))
+                        .await;
                 }
             }
         }
@@ -77,10 +79,9 @@
             return;
         }
         let own = self.own.borrow().clone();
-        let others = self
-            .instances()
-            .into_iter()
-            .filter(|it| it.takes_work() && it.id != own.id && it.data_centre == own.data_centre);
+        let others = self.instances().into_iter().filter(|it| {
+            it.can_accept_work() && it.id != own.id && it.data_centre == own.data_centre
+        });
         self.push(others.map(|it| it.peer).collect(), &applied, false);
     }
 
@@ -98,9 +99,9 @@
         self.push(relays.collect(), &entries, true);
     }
 
-    fn push(&self, peers: Vec<SocketAddr>, entries: &[ConfigEntry], pass_on: bool) {
+    fn push(&self, peers: Vec<SocketAddr>, entries: &[ConfigEntry], forward: bool) {
         for peer in peers {
-            let req = PeerRequest::Push { entries: entries.to_vec(), pass_on };
+            let req = PeerRequest::Push { entries: entries.to_vec(), forward };
             let deadline = self.borders.clock.now() + self.timing.answer_timeout;
             let call = self.borders.peers.call(peer, req, deadline);
             // An instance that misses the push sees a different digest at the next exchange and pulls the entries.
--- a/crates/gullspar_fleet/src/gossip.rs
+++ b/crates/gullspar_fleet/src/gossip.rs
@@ -121,14 +121,14 @@
     /// Exchanges recent records with the instance at `peer`; returns whether it answered.
     async fn exchange(self: &Rc<Self>, peer: std::net::SocketAddr) -> bool {
         let req = {
-            let news = self.table.borrow_mut().updates();
+            let updates = self.table.borrow_mut().updates();
             let from = self.own.borrow().clone();
-            PeerRequest::Exchange { from, news, config_digest: self.config.digest() }
+            PeerRequest::Exchange { from, updates, config_digest: self.config.digest() }
         };
         let deadline = self.borders.clock.now() + self.timing.answer_timeout;
         let reply = self.borders.peers.call(peer, req, deadline).await;
-        let Ok(PeerReply::Exchanged { from, news, config_digest }) = reply else { return false };
-        self.merge_records(&from, &news);
+        let Ok(PeerReply::Exchanged { from, updates, config_digest }) = reply else { return false };
+        self.merge_records(&from, &updates);
         if config_digest != self.config.digest() {
             self.pull_from(peer).await;
         }
@@ -139,12 +139,12 @@
     pub fn answer_exchange(
         self: &Rc<Self>,
         from: InstanceRecord,
-        news: Vec<InstanceRecord>,
+        updates: Vec<InstanceRecord>,
         config_digest: u64,
     ) -> PeerReply {
         let is_unknown = self.table.borrow().get(&from.id).is_none();
-        self.merge_records(&from, &news);
-        let news = if is_unknown {
+        self.merge_records(&from, &updates);
+        let updates = if is_unknown {
             // A new instance gets all records at once; through gossip alone this would take minutes.
             self.instances()
         } else {
@@ -155,7 +155,7 @@
             compio::runtime::spawn(async move { this.pull_from(from.peer).await }).detach();
         }
         let own = self.own.borrow().clone();
-        PeerReply::Exchanged { from: own, news, config_digest: self.config.digest() }
+        PeerReply::Exchanged { from: own, updates, config_digest: self.config.digest() }
     }
 
     /// Probes a third instance on behalf of another one.
@@ -164,10 +164,10 @@
     }
 
     /// Merges the sender's record and those that it sent.
-    fn merge_records(&self, from: &InstanceRecord, news: &[InstanceRecord]) {
+    fn merge_records(&self, from: &InstanceRecord, updates: &[InstanceRecord]) {
         self.merge(from, None);
         self.has_contacted_others.set(true);
-        for record in news {
+        for record in updates {
             if record.id == self.id() {
                 self.refute(record);
                 continue;
--- a/crates/gullspar_model/src/lib.rs
+++ b/crates/gullspar_model/src/lib.rs
@@ -1,6 +1,6 @@
-//! The words of gullspar: names, positions, tokens, outcomes and the objects kept on the platform.
+//! Data types shared by all crates: names, log positions, tokens, outcomes and the objects stored on the platform.
 //!
-//! Nothing in here does input or output; every other package speaks in these types.
+//! This crate does no input or output.
 //! The terms are explained in `docs/GLOSSARY.md`.
 
 mod access;
@@ -29,7 +29,7 @@
 pub use group_spec::GroupSpec;
 #[cfg(feature = "guard_switches")]
 pub use guard::switches;
-pub use guard::{Guard, promotion_pauses_after};
+pub use guard::{Guard, should_pause_promotion_after};
 pub use instance_record::{InstanceRecord, InstanceState};
 pub use log_point::{LogPoint, LogPosition, Term};
 pub use member_spec::MemberSpec;
