--- a/crates/gullspar_direct/src/configuration/store_contact.rs
+++ b/crates/gullspar_direct/src/configuration/store_contact.rs
@@ -48,7 +48,7 @@
     /// Whether nobody is heard to reach the store, neither this instance nor another.
     fn is_last_resort(&self) -> bool {
         let now = self.borders.clock.boot_now();
-        !self.reaches_store() && !self.peers.others_reach_store(now)
+        !self.reaches_store() && !self.peers.is_store_reachable_by_any(now)
     }
 
     /// The least time between two calls of this instance to a store that does not answer.
--- a/crates/gullspar_direct/src/fleet/cut_off.rs
+++ b/crates/gullspar_direct/src/fleet/cut_off.rs
@@ -15,7 +15,7 @@
     /// Whether waiting for a leader of `group` that this instance can use is in vain: the others use it, or
     /// this instance is cut off from them, or it leaves and nobody is about to take its place. Refused at once, a
     /// caller's next try reaches another instance or comes when another one leads.
-    pub(crate) fn is_hopeless(&self, group: &Group) -> bool {
+    pub(crate) fn should_fail_fast(&self, group: &Group) -> bool {
         if group.serving_leader().is_some() {
             return false;
         }
@@ -26,7 +26,7 @@
         let led = group
             .leader()
             .is_some_and(|it| self.peers.views.others_see_lead(&group.name, &it.member, now));
-        led || self.peers.is_isolated(now) || self.ways_around(&group.name).is_some()
+        led || self.peers.is_isolated(now) || self.forwarding_candidates(&group.name).is_some()
     }
 
     /// Whether this instance is cut off from the other instances and from the leaders of half of the
@@ -59,7 +59,7 @@
     ///
     /// Opened all the same, it would be closed while its first request is on the way, and the caller would not know
     /// whether that ran.
-    pub(crate) fn refuses_sessions(&self, route: &Route, is_handed_on: bool) -> Option<NotRun> {
+    pub(crate) fn session_refusal(&self, route: &Route, is_handed_on: bool) -> Option<NotRun> {
         if self.shutdown.phase() >= Phase::ClosingIdle {
             return Some(NotRun::Leaving);
         }
@@ -87,7 +87,7 @@
     /// Without a leader in reach nothing can be served, since how old the data of a replica is follows from what a
     /// leader said. An instance that starts behind a cut would draw a share of its data centre's callers and
     /// refuse them all; while it is not ready, they go to other data centres.
-    pub(crate) fn has_been_useful(&self) -> bool {
+    pub(crate) fn has_served(&self) -> bool {
         if self.useful.get() {
             return true;
         }
@@ -102,13 +102,13 @@
 
     /// Notices who has fallen silent, and sends callers away while this instance is cut off, or around a leader that
     /// only it can't reach.
-    pub(crate) async fn look_around(self: Rc<Self>) {
+    pub(crate) async fn monitor_connectivity(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut cut_off_since = None;
-        let mut ways_around = Vec::new();
+        let mut forwarding_candidates = Vec::new();
         loop {
             self.watch_peers();
-            self.look_for_ways(&mut ways_around);
+            self.look_for_ways(&mut forwarding_candidates);
             if self.is_cut_off() {
                 let since = *cut_off_since.get_or_insert_with(|| {
                     log::warn!("G0741 this instance is cut off; callers are sent elsewhere");
--- a/crates/gullspar_direct/src/fleet/detour.rs
+++ b/crates/gullspar_direct/src/fleet/detour.rs
@@ -30,7 +30,7 @@
 impl Proxy {
     /// Instances through which callers of `group` are better served now, best first; `None` if this one
     /// reaches the leader, or nobody does.
-    pub(crate) fn ways_around(&self, group: &GroupName) -> Option<Vec<Member>> {
+    pub(crate) fn forwarding_candidates(&self, group: &GroupName) -> Option<Vec<Member>> {
         let known = self.group(group)?;
         let lacking = known.leader_lacking_since()?;
         let now = self.borders.clock.now();
@@ -58,7 +58,8 @@
         let groups = self.groups();
         groups.iter().for_each(|it| it.look_for_leader(now));
         let names = groups.iter().map(|it| it.name.clone());
-        let found: Vec<GroupName> = names.filter(|it| self.ways_around(it).is_some()).collect();
+        let found: Vec<GroupName> =
+            names.filter(|it| self.forwarding_candidates(it).is_some()).collect();
         if found == *known {
             return;
         }
--- a/crates/gullspar_direct/src/fleet/discovery.rs
+++ b/crates/gullspar_direct/src/fleet/discovery.rs
@@ -58,7 +58,7 @@
 
 impl Proxy {
     /// Looks up who is there, enters this instance, and looks again while it hears nobody.
-    pub(crate) async fn find_others(self: Rc<Self>) {
+    pub(crate) async fn discover_instances(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let deadline = clock.now() + DISCOVERY_WITHIN;
         let found = within(&*clock, deadline, self.look_up()).await.ok().flatten();
@@ -67,7 +67,7 @@
         let mut entered = is_entered.then(|| self.store_era());
         self.expect(found.unwrap_or_default());
         self.discovery.finish();
-        self.tend_groups();
+        self.maintain_groups();
         loop {
             let era = self.store_era();
             if entered.is_some_and(|it| it < era) {
@@ -114,7 +114,7 @@
     }
 
     async fn enter_registry(&self) -> bool {
-        match self.borders.registry.enter(&self.own.member()).await {
+        match self.borders.registry.register(&self.own.member()).await {
             Ok(()) => true,
             Err(err) => {
                 log::info!(reason = err.to_string().as_str(); "G0751 this instance could not be registered");
--- a/crates/gullspar_direct/src/fleet/heartbeat.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeat.rs
@@ -14,7 +14,7 @@
         /// It answered lately as the leader.
         Leads,
         /// It does not answer.
-        Dark,
+        Unresponsive,
         /// Members answer, and none of them leads.
         NoLeader,
         /// Not looked for long enough to say.
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -94,7 +94,7 @@
         let now = self.borders.clock.boot_now();
         let mut looking: BTreeMap<SocketAddr, BTreeSet<GroupName>> = BTreeMap::new();
         for group in self.groups() {
-            let addresses = self.peers.views.addresses_looking_at(&group.name, now);
+            let addresses = self.peers.views.monitoring_addresses(&group.name, now);
             for address in addresses.into_iter().chain(self.addresses_of_homes(&group.name)) {
                 looking.entry(address).or_default().insert(group.name.clone());
             }
@@ -127,9 +127,9 @@
     }
 
     /// Takes a message of another instance.
-    pub fn take_message(&self, message: PeerMessage) {
+    pub fn handle_message(&self, message: PeerMessage) {
         match message {
-            PeerMessage::Heartbeat(heartbeat) => self.take_heartbeat(heartbeat),
+            PeerMessage::Heartbeat(heartbeat) => self.handle_heartbeat(heartbeat),
             PeerMessage::TokenRequest(req) => self.answer_token_request(&req),
             PeerMessage::TokenGrant(grant) => self.take_grant(&grant),
             PeerMessage::QuotaHandover(handover) => self.take_quota(&handover),
@@ -137,7 +137,7 @@
     }
 
     /// Takes a heartbeat of another instance.
-    pub fn take_heartbeat(&self, heartbeat: Heartbeat) {
+    pub fn handle_heartbeat(&self, heartbeat: Heartbeat) {
         if *heartbeat.from() == self.own.id {
             return;
         }
@@ -173,7 +173,7 @@
     ///
     /// An instance that the store turns away, or that is cut off from it, would go on by an old
     /// configuration that everybody else has left.
-    pub(crate) async fn follow_peers(self: Rc<Self>) {
+    pub(crate) async fn sync_from_peers(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut source = NewsSource::starting_with(self.borders.entropy.next_u64());
         loop {
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -31,7 +31,7 @@
 
 impl Proxy {
     /// Brings groups, targets and their capacities in line with the directory and the other instances.
-    pub(crate) fn tend_groups(&self) {
+    pub(crate) fn maintain_groups(&self) {
         // Without both of them every instance would take itself for a home of all groups.
         if !self.discovery.is_done() || self.directory.catalogue().is_none() {
             return;
@@ -54,7 +54,7 @@
             if self.is_home(&spec.group, allowance) {
                 let homes = self.homes_of(&spec.group, allowance);
                 let holders = homes.map_or_else(|| self.members().len(), |it| it.holders);
-                self.tend_target(spec, allowance, holders);
+                self.maintain_target(spec, allowance, holders);
             }
         }
         self.give_up_groups(now);
@@ -68,7 +68,12 @@
         }
     }
 
-    pub(crate) fn tend_target(&self, spec: Rc<TargetSpec>, allowance: Allowance, holders: usize) {
+    pub(crate) fn maintain_target(
+        &self,
+        spec: Rc<TargetSpec>,
+        allowance: Allowance,
+        holders: usize,
+    ) {
         let group = self.group_or_new(&spec.group);
         if group.target(&spec.member).is_some_and(|it| it.spec().is_started_anew(&spec)) {
             log::info!(member = spec.member.as_str(), group = spec.group.as_str(); "G0758 a target has started anew");
@@ -109,11 +114,11 @@
     ///
     /// Instances learn of each other at different moments. One that takes this instance for a home hands
     /// on a session before this one knows that it is; refused, its callers would find no one.
-    pub(crate) fn hold(&self, group: &GroupName) {
+    pub(crate) fn hold_group(&self, group: &GroupName) {
         let until = self.borders.clock.now() + HOLD_FOR;
         self.held.borrow_mut().insert(group.clone(), until);
         if self.group(group).is_none() {
-            self.tend_groups();
+            self.maintain_groups();
         }
     }
 
@@ -153,7 +158,7 @@
         ranked.sort_by_key(|it| avoided.get(&it.id).is_some_and(|until| now < *until));
         let first = ranked.first()?;
         if first.id == self.own.id {
-            self.hold(group);
+            self.hold_group(group);
             return None;
         }
         ranked.retain(|it| it.id != self.own.id);
@@ -169,7 +174,7 @@
     }
 
     /// Whether this instance is no longer a home of `group` and keeps it only for sessions that are open.
-    pub(crate) fn gives_up(&self, group: &GroupName) -> bool {
+    pub(crate) fn is_giving_up(&self, group: &GroupName) -> bool {
         self.group(group).is_some_and(|it| it.given_up_at().is_some())
     }
 
--- a/crates/gullspar_direct/src/fleet/limits.rs
+++ b/crates/gullspar_direct/src/fleet/limits.rs
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// Fails where the customer is at its limit; the operation must not run.
-    pub(crate) async fn spend(
+    pub(crate) async fn consume_token(
         &self,
         customer: &CustomerName,
         deadline: Instant,
@@ -112,7 +112,7 @@
     }
 
     /// A second try of an operation counts as well; it does not wait.
-    pub(crate) fn spend_again(&self, customer: Option<&CustomerName>) {
+    pub(crate) fn consume_retry_token(&self, customer: Option<&CustomerName>) {
         if let Some(account) =
             customer.and_then(|it| self.limits.accounts.borrow().get(it).cloned())
         {
@@ -279,7 +279,7 @@
     }
 
     /// Notices changes of the members, and forgets customers that nobody hears of any more.
-    pub(crate) fn tend_limits(&self) {
+    pub(crate) fn maintain_limits(&self) {
         let now = self.borders.clock.boot_now();
         self.hand_over_quotas(now);
         self.limits.part_percent.set(self.peers.percent_in_reach(now));
--- a/crates/gullspar_direct/src/fleet/peer_table.rs
+++ b/crates/gullspar_direct/src/fleet/peer_table.rs
@@ -180,7 +180,7 @@
     }
 
     /// Whether any instance is known to reach the platform's store.
-    pub(crate) fn others_reach_store(&self, now: BootInstant) -> bool {
+    pub(crate) fn is_store_reachable_by_any(&self, now: BootInstant) -> bool {
         self.store_known.is_within(STORE_KNOWN_FOR, now)
     }
 
--- a/crates/gullspar_direct/src/fleet/registry.rs
+++ b/crates/gullspar_direct/src/fleet/registry.rs
@@ -19,7 +19,7 @@
 /// A list of instances that outlives them.
 pub trait Registry {
     /// Enters an instance, or replaces what stands there of it.
-    fn enter<'a>(&'a self, member: &'a Member) -> LocalBoxFuture<'a, Result<(), RegistryError>>;
+    fn register<'a>(&'a self, member: &'a Member) -> LocalBoxFuture<'a, Result<(), RegistryError>>;
 
     /// The newest era of the store behind it that any of its answers to this instance told.
     fn era(&self) -> u64;
--- a/crates/gullspar_direct/src/fleet/views.rs
+++ b/crates/gullspar_direct/src/fleet/views.rs
@@ -48,7 +48,7 @@
     }
 
     /// Names of the instances that look at `group` and stay.
-    pub(crate) fn looking_at(&self, group: &GroupName, now: BootInstant) -> Vec<InstanceId> {
+    pub(crate) fn monitoring_ids(&self, group: &GroupName, now: BootInstant) -> Vec<InstanceId> {
         self.select(now, ALIVE_FOR, |it| {
             let has_view = it.view(group).is_some();
             (!it.is_leaving() && has_view).then(|| it.from().clone())
@@ -56,7 +56,7 @@
     }
 
     /// Addresses of the instances that look at `group`.
-    pub(crate) fn addresses_looking_at(
+    pub(crate) fn monitoring_addresses(
         &self,
         group: &GroupName,
         now: BootInstant,
@@ -97,7 +97,7 @@
     /// `leader` of `group`.
     ///
     /// A promotion needs half of them against the leader, so that none had been decided on as of `since`.
-    pub(crate) fn vouch_for(
+    pub(crate) fn is_leader_confirmed(
         &self,
         group: &GroupName,
         leader: &MemberName,
@@ -110,7 +110,7 @@
                 LeaderHealth::Leads => view.leader.as_ref() == Some(leader),
                 // One that has just started has no say yet.
                 LeaderHealth::Unsure => true,
-                LeaderHealth::Dark | LeaderHealth::NoLeader => false,
+                LeaderHealth::Unresponsive | LeaderHealth::NoLeader => false,
             };
             not_against.then_some(())
         };
@@ -129,7 +129,7 @@
     }
 
     /// Whether any other instance lately saw `group` led by somebody.
-    pub(crate) fn others_see_leader(&self, group: &GroupName, now: BootInstant) -> bool {
+    pub(crate) fn is_leader_seen_by_peers(&self, group: &GroupName, now: BootInstant) -> bool {
         let sees = |it: &Heartbeat| {
             let view = it.view(group)?;
             (view.health == LeaderHealth::Leads).then_some(())
@@ -138,7 +138,7 @@
     }
 
     /// Other instances that lately saw no working leader in `group`, or saw this one fail.
-    pub(crate) fn see_no_leader(
+    pub(crate) fn count_against_leader(
         &self,
         group: &GroupName,
         leader: Option<&MemberName>,
@@ -148,7 +148,7 @@
             let view = it.view(group)?;
             match view.health {
                 LeaderHealth::NoLeader => Some(()),
-                LeaderHealth::Dark => {
+                LeaderHealth::Unresponsive => {
                     (view.leader.as_ref() == leader || leader.is_none()).then_some(())
                 }
                 LeaderHealth::Leads | LeaderHealth::Unsure => None,
--- a/crates/gullspar_direct/src/groups/failover.rs
+++ b/crates/gullspar_direct/src/groups/failover.rs
@@ -84,7 +84,7 @@
             let long = now >= self.group.leaderless_since() + LEADERLESS_FOR;
             let reachable = self.group.targets().iter().any(|it| it.was_heard() && !it.is_dark());
             let boot_now = self.borders.clock.boot_now();
-            let led = self.peers.views.others_see_leader(&self.group.name, boot_now);
+            let led = self.peers.views.is_leader_seen_by_peers(&self.group.name, boot_now);
             return (long && reachable && !led && self.agreed(None)).then_some(Cause::NoLeader);
         };
         match self.group.target(&leader.member) {
@@ -101,7 +101,7 @@
         let now = self.borders.clock.boot_now();
         let ballot = Ballot {
             counted: self.peers.views.counted_for(&self.group.name, now),
-            against: 1 + self.peers.views.see_no_leader(&self.group.name, leader, now),
+            against: 1 + self.peers.views.count_against_leader(&self.group.name, leader, now),
         };
         ballot.verdict() == Verdict::Replace
     }
@@ -117,7 +117,7 @@
     /// comes first, the others by a hash that spreads the groups over them.
     fn rank(&self) -> u32 {
         let now = self.borders.clock.boot_now();
-        let mut alive = self.peers.views.looking_at(&self.group.name, now);
+        let mut alive = self.peers.views.monitoring_ids(&self.group.name, now);
         alive.push(self.own.clone());
         let last = self.group.claims().holder().cloned();
         alive.sort_by_key(|it| {
--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -256,7 +256,7 @@
         let health = match &leader {
             Some(member) => match self.target(member) {
                 Some(target) if !target.is_dark() => LeaderHealth::Leads,
-                _ => LeaderHealth::Dark,
+                _ => LeaderHealth::Unresponsive,
             },
             None if now < settle_until => LeaderHealth::Unsure,
             None => LeaderHealth::NoLeader,
--- a/crates/gullspar_direct/src/proxy.rs
+++ b/crates/gullspar_direct/src/proxy.rs
@@ -99,15 +99,15 @@
     /// Keeps groups, capacities and other instances' news up to date; never ends.
     pub async fn run(self: Rc<Self>) {
         compio::runtime::spawn(Rc::clone(&self).send_heartbeats()).detach();
-        compio::runtime::spawn(Rc::clone(&self).follow_peers()).detach();
-        compio::runtime::spawn(Rc::clone(&self).look_around()).detach();
-        compio::runtime::spawn(Rc::clone(&self).find_others()).detach();
+        compio::runtime::spawn(Rc::clone(&self).sync_from_peers()).detach();
+        compio::runtime::spawn(Rc::clone(&self).monitor_connectivity()).detach();
+        compio::runtime::spawn(Rc::clone(&self).discover_instances()).detach();
         loop {
             let changed = self.directory.listen();
             let now = self.borders.clock.now();
             let lapse = self.directory.drop_lapsed(now);
-            self.tend_groups();
-            self.tend_limits();
+            self.maintain_groups();
+            self.maintain_limits();
             self.borders.stats.levels(&self.levels());
             let until = lapse.map_or(now + TEND_EVERY, |it| it.min(now + TEND_EVERY));
             // Either way everything is looked at again.
@@ -121,7 +121,7 @@
             && self.discovery.is_done()
             && self.shutdown.phase() == Phase::Serving
             && self.shutdown.cut_off() == CutOff::No
-            && self.has_been_useful()
+            && self.has_served()
     }
 
     /// The group `name`, if any target of it is there.
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -97,12 +97,12 @@
                     tried.push(place.target.member());
                     place.note(trace);
                     if trace.tries > 1 {
-                        self.spend_again(req.customer.as_ref());
+                        self.consume_retry_token(req.customer.as_ref());
                     }
                     running.push(self.spawn_try(group, req, place, tx.clone()));
                     another_due = false;
                 } else if running.is_empty() {
-                    if self.is_hopeless(group) {
+                    if self.should_fail_fast(group) {
                         break;
                     }
                     // Nothing can serve it at this moment.
--- a/crates/gullspar_direct/src/session/caller_opening.rs
+++ b/crates/gullspar_direct/src/session/caller_opening.rs
@@ -94,7 +94,7 @@
         proxy.borders.stats.key_refused();
         return Err(refused(refusal::unknown_key()));
     };
-    if let Some(reason) = proxy.refuses_sessions(&route, handed_on.is_some()) {
+    if let Some(reason) = proxy.session_refusal(&route, handed_on.is_some()) {
         log::info!(service = service.as_str(), reason = reason.text(); "G0764 a session is refused at its opening");
         return Err(refused(refusal::not_run(reason)));
     }
@@ -110,9 +110,9 @@
     customer: Option<CustomerName>,
     handed_on: Option<HandedOn>,
 ) -> Result<(), CallerLinkError> {
-    let ways = proxy.ways_around(&route.group);
+    let ways = proxy.forwarding_candidates(&route.group);
     if handed_on.is_some() {
-        proxy.hold(&route.group);
+        proxy.hold_group(&route.group);
         if ways.is_some() {
             return link.reply(&relay::no_home()).await;
         }
--- a/crates/gullspar_direct/src/session/caller_session.rs
+++ b/crates/gullspar_direct/src/session/caller_session.rs
@@ -160,7 +160,8 @@
     fn is_misplaced(&self) -> bool {
         let route = self.proxy.directory.route(&self.opening.service);
         route.is_some_and(|it| {
-            self.proxy.gives_up(&it.group) || self.proxy.ways_around(&it.group).is_some()
+            self.proxy.is_giving_up(&it.group)
+                || self.proxy.forwarding_candidates(&it.group).is_some()
         })
     }
 
@@ -357,7 +358,7 @@
         }
         let Some(route) = self.proxy.directory.route(&self.opening.service) else { return Ok(()) };
         let deadline = self.proxy.borders.clock.now() + Duration::from_millis(route.statement_ms);
-        let charged = self.proxy.spend(&customer, deadline).await;
+        let charged = self.proxy.consume_token(&customer, deadline).await;
         charged?;
         if let Some(transaction) = &mut self.transaction {
             transaction.charged = true;
--- a/crates/gullspar_direct/src/writing/confirmation.rs
+++ b/crates/gullspar_direct/src/writing/confirmation.rs
@@ -137,7 +137,7 @@
             asked
         };
         !group.is_being_replaced(now)
-            && self.peers.views.vouch_for(&group.name, &leader.member, no_cut_since, now)
+            && self.peers.views.is_leader_confirmed(&group.name, &leader.member, no_cut_since, now)
     }
 
     /// Whether the leader that made `commit` leads now, as it says itself.
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -195,7 +195,7 @@
         let mut failed = None;
         while clock.now() < req.deadline {
             let Some(place) = self.place(proxy, req, &tried) else {
-                if proxy.is_hopeless(&self.group) {
+                if proxy.should_fail_fast(&self.group) {
                     break;
                 }
                 tried.clear();
--- a/crates/gullspar_direct/src/writing/write_path.rs
+++ b/crates/gullspar_direct/src/writing/write_path.rs
@@ -73,7 +73,7 @@
             if let Some(leader) = group.serving_leader() {
                 return Some(leader);
             }
-            if self.is_hopeless(group) {
+            if self.should_fail_fast(group) {
                 return None;
             }
             within(&**clock, req.deadline, changed).await.ok()?;
--- a/crates/gullspar_direct/tests/support/fake_peers.rs
+++ b/crates/gullspar_direct/tests/support/fake_peers.rs
@@ -86,7 +86,7 @@
 impl PeerChannel for Channel {
     fn send(&self, to: SocketAddr, message: &PeerMessage) {
         if let Some(proxy) = self.network.reach(self.own, to) {
-            proxy.take_message(message.clone());
+            proxy.handle_message(message.clone());
         }
     }
 
--- a/crates/gullspar_direct/tests/support/fake_registry.rs
+++ b/crates/gullspar_direct/tests/support/fake_registry.rs
@@ -26,7 +26,7 @@
 }
 
 impl Registry for FakeRegistry {
-    fn enter<'a>(&'a self, member: &'a Member) -> LocalBoxFuture<'a, Result<(), RegistryError>> {
+    fn register<'a>(&'a self, member: &'a Member) -> LocalBoxFuture<'a, Result<(), RegistryError>> {
         if self.silent.get() {
             return futures::future::pending().boxed_local();
         }
--- a/crates/gullspar_net/src/datagram_peers.rs
+++ b/crates/gullspar_net/src/datagram_peers.rs
@@ -103,7 +103,7 @@
         let BufResult(received, buf) = socket.recv_from(buf).await;
         match received {
             Ok((length, from)) => match postcard::from_bytes(&buf[..length.min(buf.len())]) {
-                Ok(message) => proxy.take_message(message),
+                Ok(message) => proxy.handle_message(message),
                 Err(err) => {
                     log::debug!(from = from.to_string().as_str(), reason = err.to_string().as_str(); "G0738 a heartbeat is unreadable");
                 }
