--- a/crates/gullspar_direct/src/fleet/discovery.rs
+++ b/crates/gullspar_direct/src/fleet/discovery.rs
@@ -98,7 +98,7 @@
     async fn look_up(&self) -> Option<Vec<Member>> {
         match self.borders.registry.entries().await {
             Ok(entries) => {
-                entries.iter().for_each(|it| self.peers.add_lead(it.address));
+                entries.iter().for_each(|it| self.peers.add_probe_address(it.address));
                 Some(entries)
             }
             Err(err) => {
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use gullspar_border::{BootInstant, PeerError, within};
-use gullspar_membership::{Gossip, HEARTBEAT_EVERY, HEARTBEAT_SPACING};
+use gullspar_membership::{Gossip, HEARTBEAT_INTERVAL, MIN_HEARTBEAT_INTERVAL};
 use gullspar_model::GroupName;
 
 use crate::configuration::news_source::NewsSource;
@@ -36,11 +36,11 @@
             let is_due = told.next_round.is_none_or(|it| sent >= it);
             self.send_round(&mut told, is_due);
             if is_due {
-                told.next_round = Some(sent + HEARTBEAT_EVERY);
+                told.next_round = Some(sent + HEARTBEAT_INTERVAL);
             }
             let next_round = told.next_round.unwrap_or(sent);
             // What is passed on is passed on twice, so that one lost datagram matters to nobody.
-            if !self.peers.has_news() {
+            if !self.peers.has_updates() {
                 let groups = self.groups();
                 let changed = futures::future::select_all(
                     groups.iter().map(|it| it.listen()).chain([known, news]),
@@ -51,7 +51,7 @@
             if self.directory.version() != told.catalogue_version {
                 told.next_round = None;
             }
-            clock.sleep_until(sent + HEARTBEAT_SPACING).await;
+            clock.sleep_until(sent + MIN_HEARTBEAT_INTERVAL).await;
         }
     }
 
@@ -74,7 +74,7 @@
             self.peers.keep_close(self.looking_at_same_groups(), now);
         }
         let mut to: BTreeSet<SocketAddr> = BTreeSet::new();
-        if is_due || self.peers.has_news() {
+        if is_due || self.peers.has_updates() {
             to.extend(self.peers.begin_round(self.borders.entropy.next_u64(), now));
         }
         to.extend(self.peers.close(|groups| is_due || !groups.is_disjoint(&changed)));
@@ -148,7 +148,7 @@
             }
         }
         let (address, gossip) = (heartbeat.address(), heartbeat.gossip.clone());
-        if self.peers.take(heartbeat, now).wants_answer {
+        if self.peers.take(heartbeat, now).needs_answer {
             let answer = self.peers.answer(&gossip, now);
             let heartbeat = self.heartbeat(address, answer, &self.views(now), now);
             self.borders.peers.send(address, &PeerMessage::Heartbeat(heartbeat));
@@ -196,7 +196,7 @@
                     }
                 }
             }
-            clock.sleep_until(clock.now() + HEARTBEAT_EVERY).await;
+            clock.sleep_until(clock.now() + HEARTBEAT_INTERVAL).await;
         }
     }
 
--- a/crates/gullspar_direct/src/fleet/limits.rs
+++ b/crates/gullspar_direct/src/fleet/limits.rs
@@ -255,7 +255,7 @@
             Some((known, since)) if known == owners => since,
             _ => {
                 self.limits.owned_by.set(Some((owners, now)));
-                self.limits.part_percent.set(self.peers.percent_in_reach(now));
+                self.limits.part_percent.set(self.peers.reachable_percent(now));
                 let mut quotas = self.limits.quotas.borrow_mut();
                 let closed = quotas.close(|it| self.quota_owner(it) == self.own.address);
                 for handover in closed {
@@ -282,7 +282,7 @@
     pub(crate) fn maintain_limits(&self) {
         let now = self.borders.clock.boot_now();
         self.hand_over_quotas(now);
-        self.limits.part_percent.set(self.peers.percent_in_reach(now));
+        self.limits.part_percent.set(self.peers.reachable_percent(now));
         let mut accounts = self.limits.accounts.borrow_mut();
         accounts.retain(|_, it| it.waiting.get() > 0 || !it.leased.borrow().is_idle(now));
     }
--- a/crates/gullspar_direct/src/fleet/peer_table.rs
+++ b/crates/gullspar_direct/src/fleet/peer_table.rs
@@ -8,7 +8,7 @@
 
 use event_listener::{Event, EventListener};
 use gullspar_border::BootInstant;
-use gullspar_membership::{Gossip, Member, Membership, Taken};
+use gullspar_membership::{Gossip, GossipOutcome, Member, Membership};
 use gullspar_model::{GroupName, InstanceId, Revision};
 
 use crate::fleet::last_known::LastKnown;
@@ -87,14 +87,14 @@
     }
 
     /// Takes a heartbeat that arrived at `now`.
-    pub(crate) fn take(&self, heartbeat: Heartbeat, now: BootInstant) -> Taken {
-        let taken = self.membership.borrow_mut().take(&heartbeat.gossip, now);
+    pub(crate) fn take(&self, heartbeat: Heartbeat, now: BootInstant) -> GossipOutcome {
+        let taken = self.membership.borrow_mut().handle_gossip(&heartbeat.gossip, now);
         self.store_known.take(heartbeat.store_age_ms, now);
         if heartbeat.member().data_centre == self.own.data_centre {
             self.home_known.take(heartbeat.home_age_ms, now);
         }
         self.views.take(heartbeat, now);
-        if taken.has_news {
+        if taken.has_updates {
             self.changed.notify(usize::MAX);
         }
         taken
@@ -106,13 +106,13 @@
     }
 
     /// Whether there are news of instances to pass on.
-    pub(crate) fn has_news(&self) -> bool {
-        self.membership.borrow().has_news()
+    pub(crate) fn has_updates(&self) -> bool {
+        self.membership.borrow().has_updates()
     }
 
     /// Adds an address where an instance may be.
-    pub(crate) fn add_lead(&self, address: SocketAddr) {
-        self.membership.borrow_mut().add_lead(address);
+    pub(crate) fn add_probe_address(&self, address: SocketAddr) {
+        self.membership.borrow_mut().add_probe_address(address);
     }
 
     /// Announces whether this instance takes no new work.
@@ -124,7 +124,7 @@
     pub(crate) fn check(&self, now: BootInstant) -> Vec<InstanceId> {
         let dead = self.membership.borrow_mut().check(now);
         self.views.forget_silent(now);
-        if self.has_news() {
+        if self.has_updates() {
             self.changed.notify(usize::MAX);
         }
         dead
@@ -137,7 +137,7 @@
 
     /// What the heartbeat of this round to the instance at `to` tells of the fleet.
     pub(crate) fn gossip(&self, to: SocketAddr, now: BootInstant) -> Gossip {
-        self.membership.borrow_mut().message(to, now)
+        self.membership.borrow_mut().gossip_for(to, now)
     }
 
     /// What to answer the sender of `gossip`.
@@ -273,8 +273,8 @@
     }
 
     /// The part of the fleet, in percent, that is in data centres of which this instance reaches any.
-    pub(crate) fn percent_in_reach(&self, now: BootInstant) -> u32 {
-        self.membership.borrow().percent_in_reach(now)
+    pub(crate) fn reachable_percent(&self, now: BootInstant) -> u32 {
+        self.membership.borrow().reachable_percent(now)
     }
 
     /// Instances that count in majorities, this one included.
--- a/crates/gullspar_direct/src/fleet/views.rs
+++ b/crates/gullspar_direct/src/fleet/views.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use gullspar_border::BootInstant;
-use gullspar_membership::{COUNTS_FOR, Member};
+use gullspar_membership::{DEAD_COUNTED_PERIOD, Member};
 use gullspar_model::{GroupName, InstanceId, MemberName, Revision};
 
 use crate::{Heartbeat, LeaderHealth};
@@ -44,7 +44,7 @@
 
     /// Forgets instances that were silent for so long that they count no more.
     pub(crate) fn forget_silent(&self, now: BootInstant) {
-        self.heard.borrow_mut().retain(|_, it| now.since(it.at) < COUNTS_FOR);
+        self.heard.borrow_mut().retain(|_, it| now.since(it.at) < DEAD_COUNTED_PERIOD);
     }
 
     /// Names of the instances that look at `group` and stay.
@@ -61,7 +61,7 @@
         group: &GroupName,
         now: BootInstant,
     ) -> Vec<SocketAddr> {
-        self.select(now, COUNTS_FOR, |it| it.view(group).map(|_| it.address()))
+        self.select(now, DEAD_COUNTED_PERIOD, |it| it.view(group).map(|_| it.address()))
     }
 
     /// Whether `id` was heard lately.
@@ -75,7 +75,7 @@
             let has_view = it.view(group).is_some();
             (!it.is_leaving() && has_view).then_some(())
         };
-        1 + self.select(now, COUNTS_FOR, looks).len()
+        1 + self.select(now, DEAD_COUNTED_PERIOD, looks).len()
     }
 
     /// Whether at least half of the instances that count see `leader` lead `group`.
--- a/crates/gullspar_membership/src/lib.rs
+++ b/crates/gullspar_membership/src/lib.rs
@@ -21,5 +21,5 @@
 pub use link_counts::{LinkCounts, Tally};
 pub use member::{Member, by_data_centre};
 pub use member_record::{MemberRecord, MemberState};
-pub use membership::{Membership, Taken};
-pub use timing::{COUNTS_FOR, HEARTBEAT_EVERY, HEARTBEAT_SPACING};
+pub use membership::{GossipOutcome, Membership};
+pub use timing::{DEAD_COUNTED_PERIOD, HEARTBEAT_INTERVAL, MIN_HEARTBEAT_INTERVAL};
--- a/crates/gullspar_membership/src/membership.rs
+++ b/crates/gullspar_membership/src/membership.rs
@@ -16,11 +16,11 @@
 
 /// What became of a heartbeat that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct GossipOutcome {
     /// It said something new that others should hear soon.
-    pub has_news: bool,
+    pub has_updates: bool,
     /// The sender expects an answer, for which see [`Membership::answer`].
-    pub wants_answer: bool,
+    pub needs_answer: bool,
 }
 
 /// An address where an instance may be.
@@ -80,7 +80,7 @@
     }
 
     /// Adds an address where an instance may be.
-    pub fn add_lead(&mut self, address: SocketAddr) {
+    pub fn add_probe_address(&mut self, address: SocketAddr) {
         let lead = self.leads.entry(address).or_insert(Lead { tries: 0, is_seed: false });
         lead.tries = 0;
     }
@@ -163,7 +163,7 @@
     /// What the heartbeat of this round to the instance at `to` tells.
     ///
     /// It may be sent to others than those that [`Membership::begin_round`] gave.
-    pub fn message(&mut self, to: SocketAddr, now: BootInstant) -> Gossip {
+    pub fn gossip_for(&mut self, to: SocketAddr, now: BootInstant) -> Gossip {
         let mut news = self.round_news.clone();
         let contact = self.links.at(to);
         if contact.as_ref().is_some_and(|it| self.links.differs(it)) {
@@ -209,15 +209,15 @@
     }
 
     /// Takes what another instance told.
-    pub fn take(&mut self, gossip: &Gossip, now: BootInstant) -> Taken {
+    pub fn handle_gossip(&mut self, gossip: &Gossip, now: BootInstant) -> GossipOutcome {
         let from = &gossip.from;
         if from.member.id == self.own.member.id {
-            return Taken { has_news: false, wants_answer: false };
+            return GossipOutcome { has_updates: false, needs_answer: false };
         }
-        let mut has_news = self.learn(from, now);
+        let mut has_updates = self.learn(from, now);
         self.roster.heard(&from.member.id, now);
         for record in &gossip.news {
-            has_news |= match record.member.id == self.own.member.id {
+            has_updates |= match record.member.id == self.own.member.id {
                 true => self.object_to(record),
                 false => self.learn(record, now),
             };
@@ -232,9 +232,9 @@
         }
         let is_outdated =
             self.roster.get(&from.member.id).is_some_and(|known| known.supersedes(from));
-        let wants_answer =
+        let needs_answer =
             is_outdated || (gossip.expects_answer && !self.links.contains(&from.member.id));
-        Taken { has_news, wants_answer }
+        GossipOutcome { has_updates, needs_answer }
     }
 
     /// Objects when others believe something else of this instance than it knows; tells whether it did.
@@ -271,8 +271,8 @@
     }
 
     /// Whether something waits to be passed on, so that the next round should not wait for its time.
-    pub fn has_news(&self) -> bool {
-        self.roster.has_news()
+    pub fn has_updates(&self) -> bool {
+        self.roster.has_updates()
     }
 
     /// Changes whenever anything that is believed of others does.
@@ -302,7 +302,7 @@
 
     /// The part of the instances that count, in percent, that is in data centres of which any other is believed to be
     /// alive, or in the own one.
-    pub fn percent_in_reach(&self, now: BootInstant) -> u32 {
+    pub fn reachable_percent(&self, now: BootInstant) -> u32 {
         let own = &self.own.member.data_centre;
         let places = self.roster.counted_by_place(now);
         let counted: usize = 1 + places.values().map(|it| it.counted).sum::<usize>();
--- a/crates/gullspar_membership/src/roster.rs
+++ b/crates/gullspar_membership/src/roster.rs
@@ -8,7 +8,7 @@
 
 use crate::population::Population;
 use crate::timing::{
-    COUNTS_FOR, FORGET_DEAD_AFTER, NEWS_LIMIT, NEWS_ROUNDS, RENEWAL_SPACING, SUSPECT_FOR,
+    DEAD_COUNTED_PERIOD, FORGET_DEAD_AFTER, NEWS_LIMIT, NEWS_ROUNDS, RENEWAL_SPACING, SUSPECT_FOR,
 };
 use crate::{Class, MemberRecord, MemberState};
 
@@ -27,7 +27,7 @@
     }
 
     fn counts(&self, now: BootInstant) -> bool {
-        !self.record.leaving && (self.is_alive() || now.since(self.since) < COUNTS_FOR)
+        !self.record.leaving && (self.is_alive() || now.since(self.since) < DEAD_COUNTED_PERIOD)
     }
 
     /// The record, with the time that it has been in its state.
@@ -88,7 +88,7 @@
         let known = self.entries.get(id).map(|it| &it.record);
         let is_news = match known {
             Some(known) => record.supersedes(known),
-            None => record.state != MemberState::Dead || age < COUNTS_FOR,
+            None => record.state != MemberState::Dead || age < DEAD_COUNTED_PERIOD,
         };
         if !is_news {
             self.contradict(record);
@@ -294,7 +294,7 @@
         self.digest
     }
 
-    pub(crate) fn has_news(&self) -> bool {
+    pub(crate) fn has_updates(&self) -> bool {
         !self.hot.is_empty()
     }
 
@@ -318,7 +318,7 @@
 
     /// Some records, others each time, until all were given.
     pub(crate) fn in_turn(&mut self, count: usize, now: BootInstant) -> Vec<MemberRecord> {
-        let tells = |it: &Entry| it.is_alive() || now.since(it.since) < COUNTS_FOR;
+        let tells = |it: &Entry| it.is_alive() || now.since(it.since) < DEAD_COUNTED_PERIOD;
         let after = match &self.last_told {
             Some(last) => (std::ops::Bound::Excluded(last.clone()), std::ops::Bound::Unbounded),
             None => (std::ops::Bound::Unbounded, std::ops::Bound::Unbounded),
--- a/crates/gullspar_membership/src/timing.rs
+++ b/crates/gullspar_membership/src/timing.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 /// Between two heartbeats to each contact.
-pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(200);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Least time between two heartbeats to one contact, however much happens.
-pub const HEARTBEAT_SPACING: Duration = Duration::from_millis(40);
+pub const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Silence of a contact after which it is out of this instance's reach: three heartbeats in a row may be late or lost.
 pub(crate) const OUT_OF_REACH_AFTER: Duration = Duration::from_millis(700);
@@ -23,7 +23,7 @@
 ///
 /// A cut-off data centre must not become its own majority within the seconds that cuts usually last;
 /// an instance that was removed for good must not count for ever.
-pub const COUNTS_FOR: Duration = Duration::from_secs(15);
+pub const DEAD_COUNTED_PERIOD: Duration = Duration::from_secs(15);
 
 /// How long a dead instance is remembered and tried now and then, so that regions that lost each other for an hour find
 /// together again.
--- a/crates/gullspar_membership/tests/fleet.rs
+++ b/crates/gullspar_membership/tests/fleet.rs
@@ -244,7 +244,7 @@
     (0..12).for_each(|it| fleet.kill(it));
     fleet.run_for(4 * S);
     let started = fleet.start_one();
-    fleet.nodes[started].membership.add_lead("10.1.0.15:7440".parse().unwrap());
+    fleet.nodes[started].membership.add_probe_address("10.1.0.15:7440".parse().unwrap());
     fleet.run_for(S);
     let counted = fleet.nodes[started].membership.counted(fleet.boot_now());
     assert_eq!(counted, 21, "it is told of the dead");
--- a/crates/gullspar_membership/tests/support/fleet.rs
+++ b/crates/gullspar_membership/tests/support/fleet.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use gullspar_border::BootInstant;
-use gullspar_membership::{Gossip, HEARTBEAT_EVERY, HEARTBEAT_SPACING};
+use gullspar_membership::{Gossip, HEARTBEAT_INTERVAL, MIN_HEARTBEAT_INTERVAL};
 use gullspar_model::InstanceId;
 
 use super::node::{self, Load, Node};
@@ -108,7 +108,9 @@
             self.add(number, at);
             if listed {
                 let all = (0..size).filter(|it| *it != number);
-                all.for_each(|it| self.nodes[number].membership.add_lead(node::address(it)));
+                all.for_each(|it| {
+                    self.nodes[number].membership.add_probe_address(node::address(it))
+                });
             }
         }
     }
@@ -237,35 +239,35 @@
         let random = self.random.next();
         let to = self.nodes[number].membership.begin_round(random, now);
         for address in to {
-            let gossip = self.nodes[number].membership.message(address, now);
+            let gossip = self.nodes[number].membership.gossip_for(address, now);
             self.send(number, node::number(address), gossip);
         }
         self.nodes[number].last_round = self.now;
         self.nodes[number].round += 1;
         let round = self.nodes[number].round;
-        let next = self.now + HEARTBEAT_EVERY.as_micros() as u64;
+        let next = self.now + HEARTBEAT_INTERVAL.as_micros() as u64;
         self.plan(next, Event::Round { node: number, round });
         self.hurry(number);
     }
 
     /// Brings the next round forward if there are news.
     fn hurry(&mut self, number: usize) {
-        if !self.nodes[number].membership.has_news() {
+        if !self.nodes[number].membership.has_updates() {
             return;
         }
-        let at = self.nodes[number].last_round + HEARTBEAT_SPACING.as_micros() as u64;
+        let at = self.nodes[number].last_round + MIN_HEARTBEAT_INTERVAL.as_micros() as u64;
         let round = self.nodes[number].round;
         self.plan(at.max(self.now), Event::Round { node: number, round });
     }
 
     fn arrive(&mut self, number: usize, gossip: &Gossip) {
         let now = self.boot_now();
-        let taken = self.nodes[number].membership.take(gossip, now);
-        if taken.wants_answer {
+        let taken = self.nodes[number].membership.handle_gossip(gossip, now);
+        if taken.needs_answer {
             let answer = self.nodes[number].membership.answer(gossip, now);
             self.send(number, node::number(gossip.from.member.address), answer);
         }
-        if taken.has_news {
+        if taken.has_updates {
             self.hurry(number);
         }
     }
