--- a/crates/gullspar_direct/src/fleet/discovery.rs
+++ b/crates/gullspar_direct/src/fleet/discovery.rs
@@ -16,19 +16,19 @@
 
 /// How long a start waits for the registry, which answers in 4 ms. By then heartbeats have told of some
 /// instances where it does not answer.
-const DISCOVERY_WITHIN: Duration = Duration::from_millis(600);
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long entries of the registry count as instances at work before they are heard.
 ///
 /// Whoever lives is known to all within a second, however many there are; some of those that start together take
 /// longer to start.
-const EXPECTED_FOR: Duration = Duration::from_secs(3);
+const EXPECTED_TTL: Duration = Duration::from_secs(3);
 
 /// How long an instance hears nobody before it looks others up.
-const LONELY_AFTER: Duration = Duration::from_millis(1500);
+const NO_PEERS_AFTER: Duration = Duration::from_millis(1500);
 
 /// Time between the entries of two instances that enter again at the same time.
-const ENTER_SPACING: Duration = Duration::from_millis(3);
+const REGISTRATION_INTERVAL: Duration = Duration::from_millis(3);
 
 /// Whether this instance knows how many others to expect.
 #[derive(Default)]
@@ -60,42 +60,42 @@
     /// Looks up who is there, enters this instance, and looks again while it hears nobody.
     pub(crate) async fn discover_instances(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
-        let deadline = clock.now() + DISCOVERY_WITHIN;
-        let found = within(&*clock, deadline, self.look_up()).await.ok().flatten();
-        let is_entered = found.as_ref().is_some_and(|it| it.contains(&self.own.member()));
-        // The era of the store in which this instance was entered.
-        let mut entered = is_entered.then(|| self.store_era());
-        self.expect(found.unwrap_or_default());
+        let deadline = clock.now() + DISCOVERY_TIMEOUT;
+        let found = within(&*clock, deadline, self.query_registry()).await.ok().flatten();
+        let is_registered = found.as_ref().is_some_and(|it| it.contains(&self.own.member()));
+        // The era of the store in which this instance was registered_era.
+        let mut registered_era = is_registered.then(|| self.store_era());
+        self.expect_members(found.unwrap_or_default());
         self.discovery.finish();
         self.maintain_groups();
         loop {
             let era = self.store_era();
-            if entered.is_some_and(|it| it < era) {
+            if registered_era.is_some_and(|it| it < era) {
                 // The older copy may lack this instance. Not all write at once.
-                let spread = ENTER_SPACING * self.members().len() as u32;
-                clock.sleep_until(clock.now() + jittered(&*self.borders.entropy, spread)).await;
-                entered = None;
+                let max_delay = REGISTRATION_INTERVAL * self.members().len() as u32;
+                clock.sleep_until(clock.now() + jittered(&*self.borders.entropy, max_delay)).await;
+                registered_era = None;
             }
-            if entered.is_none() {
-                entered = self.enter_registry().await.then_some(era);
+            if registered_era.is_none() {
+                registered_era = self.register_instance().await.then_some(era);
             }
-            clock.sleep_until(clock.now() + LONELY_AFTER).await;
+            clock.sleep_until(clock.now() + NO_PEERS_AFTER).await;
             if self.members().len() == 1 {
                 // Heartbeats go out to whomever it brings.
-                let _ = self.look_up().await;
+                let _ = self.query_registry().await;
             }
         }
     }
 
     /// Takes everybody who is registered for an instance at work, once: entries of those that are gone
     /// are not removed, and an instance that is left alone has to serve.
-    fn expect(&self, mut entries: Vec<Member>) {
+    fn expect_members(&self, mut entries: Vec<Member>) {
         entries.retain(|it| it.id != self.own.id);
-        self.peers.expect(entries, self.borders.clock.boot_now().plus(EXPECTED_FOR));
+        self.peers.set_expected_members(entries, self.borders.clock.boot_now().plus(EXPECTED_TTL));
     }
 
     /// Reads the registry and sends heartbeats to whoever stands there; `None` if it can't be read.
-    async fn look_up(&self) -> Option<Vec<Member>> {
+    async fn query_registry(&self) -> Option<Vec<Member>> {
         match self.borders.registry.entries().await {
             Ok(entries) => {
                 entries.iter().for_each(|it| self.peers.add_probe_address(it.address));
@@ -113,7 +113,7 @@
         self.borders.registry.era().max(self.directory.target_revision().era)
     }
 
-    async fn enter_registry(&self) -> bool {
+    async fn register_instance(&self) -> bool {
         match self.borders.registry.register(&self.own.member()).await {
             Ok(()) => true,
             Err(err) => {
--- a/crates/gullspar_direct/src/fleet/heartbeat.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeat.rs
@@ -35,13 +35,13 @@
 
 impl GroupView {
     /// Whether this tells more than that time has passed.
-    pub(crate) fn differs_from(&self, old: &GroupView) -> bool {
+    pub(crate) fn is_changed_from(&self, old: &GroupView) -> bool {
         let claim = |it: &GroupView| it.claim.as_ref().map(|it| (it.token, it.holder.clone()));
-        let acted = |it: &GroupView| it.claim.as_ref().map_or(u64::MAX, |it| it.age_ms);
+        let age_ms = |it: &GroupView| it.claim.as_ref().map_or(u64::MAX, |it| it.age_ms);
         (&self.leader, self.health) != (&old.leader, old.health)
             || claim(self) != claim(old)
             // Its holder has acted again.
-            || acted(self) < acted(old)
+            || age_ms(self) < age_ms(old)
     }
 }
 
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -14,12 +14,12 @@
 use crate::{GroupView, Heartbeat, Members, PeerMessage, Phase, Proxy, Snapshot, SnapshotRequest};
 
 /// How long handing over a snapshot may take.
-const FETCH_WITHIN: Duration = Duration::from_millis(800);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What was told last.
+/// What was last_sent last.
 #[derive(Default)]
-struct Told {
-    /// When all are told again.
+struct LastSent {
+    /// When all are last_sent again.
     next_round: Option<Instant>,
     views: BTreeMap<GroupName, GroupView>,
     catalogue_version: u64,
@@ -28,28 +28,28 @@
 impl Proxy {
     pub(crate) async fn send_heartbeats(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
-        let mut told = Told::default();
+        let mut last_sent = LastSent::default();
         loop {
-            let news = self.peers.listen();
-            let known = self.directory.listen();
+            let updates = self.peers.listen();
+            let directory_changed = self.directory.listen();
             let sent = clock.now();
-            let is_due = told.next_round.is_none_or(|it| sent >= it);
-            self.send_round(&mut told, is_due);
+            let is_due = last_sent.next_round.is_none_or(|it| sent >= it);
+            self.send_round(&mut last_sent, is_due);
             if is_due {
-                told.next_round = Some(sent + HEARTBEAT_INTERVAL);
+                last_sent.next_round = Some(sent + HEARTBEAT_INTERVAL);
             }
-            let next_round = told.next_round.unwrap_or(sent);
+            let next_round = last_sent.next_round.unwrap_or(sent);
             // What is passed on is passed on twice, so that one lost datagram matters to nobody.
             if !self.peers.has_updates() {
                 let groups = self.groups();
                 let changed = futures::future::select_all(
-                    groups.iter().map(|it| it.listen()).chain([known, news]),
+                    groups.iter().map(|it| it.listen()).chain([directory_changed, updates]),
                 );
                 // A leader that fell silent is news: a promotion waits for the views of most instances.
                 let _ = within(&*clock, next_round, changed).await;
             }
-            if self.directory.version() != told.catalogue_version {
-                told.next_round = None;
+            if self.directory.version() != last_sent.catalogue_version {
+                last_sent.next_round = None;
             }
             clock.sleep_until(sent + MIN_HEARTBEAT_INTERVAL).await;
         }
@@ -58,44 +58,44 @@
     /// Sends heartbeats: in a round that is due to all contacts and to all that look at the same groups, otherwise to
     /// contacts if there is news to pass on, and of the others to those that look at a group that has changed.
     ///
-    /// Of many groups there is always one that changes. Told to everybody each time, changes would take more of the links
+    /// Of many groups there is always one that changes. LastSent to everybody each time, changes would take more of the links
     /// than callers do.
-    fn send_round(&self, told: &mut Told, is_due: bool) {
+    fn send_round(&self, last_sent: &mut LastSent, is_due: bool) {
         let now = self.borders.clock.boot_now();
         self.peers.set_leaving(self.shutdown.phase() != Phase::Serving);
         self.hand_over_quotas(now);
         let views = self.views(now);
         let changed: BTreeSet<GroupName> = views
             .iter()
-            .filter(|it| told.views.get(&it.group).is_none_or(|old| it.differs_from(old)))
+            .filter(|it| last_sent.views.get(&it.group).is_none_or(|old| it.is_changed_from(old)))
             .map(|it| it.group.clone())
             .collect();
         if is_due || !changed.is_empty() {
-            self.peers.keep_close(self.looking_at_same_groups(), now);
+            self.peers.update_group_peers(self.find_group_peers(), now);
         }
         let mut to: BTreeSet<SocketAddr> = BTreeSet::new();
         if is_due || self.peers.has_updates() {
             to.extend(self.peers.begin_round(self.borders.entropy.next_u64(), now));
         }
-        to.extend(self.peers.close(|groups| is_due || !groups.is_disjoint(&changed)));
+        to.extend(self.peers.group_peers(|groups| is_due || !groups.is_disjoint(&changed)));
         for address in to {
             let heartbeat = self.heartbeat(address, self.peers.gossip(address, now), &views, now);
             self.borders.peers.send(address, &PeerMessage::Heartbeat(heartbeat));
         }
-        told.catalogue_version = self.directory.version();
-        told.views = views.into_iter().map(|it| (it.group.clone(), it)).collect();
+        last_sent.catalogue_version = self.directory.version();
+        last_sent.views = views.into_iter().map(|it| (it.group.clone(), it)).collect();
     }
 
     /// Addresses of the homes of the groups that this instance looks at, and of whoever else said that it does, with the
-    /// groups in common.
+    /// groups in shared.
     ///
     /// They decide on promotions together, and need each other's views at once.
-    fn looking_at_same_groups(&self) -> BTreeMap<SocketAddr, BTreeSet<GroupName>> {
+    fn find_group_peers(&self) -> BTreeMap<SocketAddr, BTreeSet<GroupName>> {
         let now = self.borders.clock.boot_now();
         let mut looking: BTreeMap<SocketAddr, BTreeSet<GroupName>> = BTreeMap::new();
         for group in self.groups() {
             let addresses = self.peers.views.monitoring_addresses(&group.name, now);
-            for address in addresses.into_iter().chain(self.addresses_of_homes(&group.name)) {
+            for address in addresses.into_iter().chain(self.home_addresses(&group.name)) {
                 looking.entry(address).or_default().insert(group.name.clone());
             }
         }
@@ -114,8 +114,8 @@
         views: &[GroupView],
         now: BootInstant,
     ) -> Heartbeat {
-        let common = self.peers.in_common(to);
-        let views = views.iter().filter(|it| common.contains(&it.group)).cloned().collect();
+        let shared = self.peers.shared_groups(to);
+        let views = views.iter().filter(|it| shared.contains(&it.group)).cloned().collect();
         Heartbeat {
             gossip,
             catalogue_version: self.directory.version(),
@@ -131,8 +131,8 @@
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.handle_heartbeat(heartbeat),
             PeerMessage::TokenRequest(req) => self.answer_token_request(&req),
-            PeerMessage::TokenGrant(grant) => self.take_grant(&grant),
-            PeerMessage::QuotaHandover(handover) => self.take_quota(&handover),
+            PeerMessage::TokenGrant(grant) => self.apply_grant(&grant),
+            PeerMessage::QuotaHandover(handover) => self.apply_quota_handover(&handover),
         }
     }
 
@@ -148,7 +148,7 @@
             }
         }
         let (address, gossip) = (heartbeat.address(), heartbeat.gossip.clone());
-        if self.peers.take(heartbeat, now).needs_answer {
+        if self.peers.handle_heartbeat(heartbeat, now).needs_answer {
             let answer = self.peers.answer(&gossip, now);
             let heartbeat = self.heartbeat(address, answer, &self.views(now), now);
             self.borders.peers.send(address, &PeerMessage::Heartbeat(heartbeat));
@@ -156,13 +156,13 @@
     }
 
     /// Notices who has fallen silent, and what this instance can tell of itself.
-    pub(crate) fn watch_peers(&self) {
+    pub(crate) fn check_peers(&self) {
         let now = self.borders.clock.boot_now();
         if self.reaches_store() {
-            self.peers.note_store(now);
+            self.peers.record_store_contact(now);
         }
-        if self.reaches_its_leaders() {
-            self.peers.note_home(now);
+        if self.can_reach_leaders() {
+            self.peers.record_home_contact(now);
         }
         for id in self.peers.check(now) {
             log::info!(instance = id.as_str(); "G0763 an instance is dead");
@@ -178,17 +178,18 @@
         let mut source = NewsSource::starting_with(self.borders.entropy.next_u64());
         loop {
             let revision = (!self.goes_by_store()).then(|| self.directory.target_revision());
-            let ahead = self.peers.ahead(self.directory.version(), revision, clock.boot_now());
+            let ahead =
+                self.peers.peers_with_updates(self.directory.version(), revision, clock.boot_now());
             if let Some(from) = source.pick(&ahead, &self.own.data_centre) {
                 let req = SnapshotRequest {
                     catalogue_version: self.directory.version(),
                     target_revision: self.directory.target_revision(),
                 };
-                let deadline = clock.now() + FETCH_WITHIN;
+                let deadline = clock.now() + FETCH_TIMEOUT;
                 match self.borders.peers.fetch(from, req, deadline).await {
                     Ok(snapshot) => {
                         source.answered();
-                        self.take(from, snapshot);
+                        self.apply_snapshot(from, snapshot);
                     }
                     Err(PeerError::NoAnswer(reason)) => {
                         source.failed();
@@ -200,7 +201,7 @@
         }
     }
 
-    fn take(&self, from: SocketAddr, snapshot: Snapshot) {
+    fn apply_snapshot(&self, from: SocketAddr, snapshot: Snapshot) {
         if let Some(catalogue) = snapshot.catalogue {
             let version = catalogue.version;
             if self.directory.apply_catalogue(catalogue) {
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -20,11 +20,11 @@
 use crate::{CutOff, Member, Phase, Proxy};
 
 /// How long a group is served for a session that was handed on to an instance that is not its home.
-const HOLD_FOR: Duration = Duration::from_secs(10);
+const HOLD_PERIOD: Duration = Duration::from_secs(10);
 
 /// How long a home that could not be reached comes after its stand-ins. Each session that is opened at one that is
 /// dark waits in vain, and heartbeats show a second later that it is gone.
-const AVOID_HOME_FOR: Duration = Duration::from_secs(2);
+const HOME_AVOIDANCE_PERIOD: Duration = Duration::from_secs(2);
 
 /// How long a group that other instances are homes of now is kept for the sessions that are open.
 const GIVE_UP_AFTER: Duration = Duration::from_secs(4);
@@ -115,7 +115,7 @@
     /// Instances learn of each other at different moments. One that takes this instance for a home hands
     /// on a session before this one knows that it is; refused, its callers would find no one.
     pub(crate) fn hold_group(&self, group: &GroupName) {
-        let until = self.borders.clock.now() + HOLD_FOR;
+        let until = self.borders.clock.now() + HOLD_PERIOD;
         self.held.borrow_mut().insert(group.clone(), until);
         if self.group(group).is_none() {
             self.maintain_groups();
@@ -150,9 +150,9 @@
         if ranked.iter().take(count).any(|it| it.id == self.own.id) {
             return None;
         }
-        // Each session takes its own turn, so that the homes share the work.
-        let turn = self.borders.entropy.next_u64() as usize % count.max(1);
-        ranked[..count].rotate_left(turn);
+        // Each session takes its own offset, so that the homes share the work.
+        let offset = self.borders.entropy.next_u64() as usize % count.max(1);
+        ranked[..count].rotate_left(offset);
         let now = self.borders.clock.now();
         let avoided = self.avoided_homes.borrow();
         ranked.sort_by_key(|it| avoided.get(&it.id).is_some_and(|until| now < *until));
@@ -170,7 +170,7 @@
         let now = self.borders.clock.now();
         let mut avoided = self.avoided_homes.borrow_mut();
         avoided.retain(|_, until| now < *until);
-        avoided.insert(id.clone(), now + AVOID_HOME_FOR);
+        avoided.insert(id.clone(), now + HOME_AVOIDANCE_PERIOD);
     }
 
     /// Whether this instance is no longer a home of `group` and keeps it only for sessions that are open.
@@ -206,7 +206,7 @@
         }
         let group = Group::new(name.clone(), self.borders.clock.now(), self.own.claim_lease);
         self.groups.borrow_mut().insert(name.clone(), Rc::clone(&group));
-        let keeper = failover::Keeper {
+        let coordinator = failover::Keeper {
             borders: self.borders.clone(),
             own: self.own.id.clone(),
             peers: Rc::clone(&self.peers),
@@ -214,19 +214,19 @@
             shutdown: Rc::clone(&self.shutdown),
             settle_until: self.started + SETTLE,
         };
-        compio::runtime::spawn(keeper.run()).detach();
+        compio::runtime::spawn(coordinator.run()).detach();
         group
     }
 
     pub(crate) fn levels(&self) -> Levels {
         let groups = self.groups();
-        let leaderless = groups.len() - self.led_groups();
+        let leaderless = groups.len() - self.led_group_count();
         Levels {
             sessions: self.shutdown.sessions() as u64,
             configuration: self.directory.version(),
             cut_off: self.shutdown.cut_off() != CutOff::No,
             leaderless: leaderless as u64,
-            instances: 1 + self.peers.running() as u64,
+            instances: 1 + self.peers.running_count() as u64,
             store_silent_ms: self.store_silent_for().map(|it| it.as_millis() as u64),
         }
     }
--- a/crates/gullspar_direct/src/fleet/home_plan.rs
+++ b/crates/gullspar_direct/src/fleet/home_plan.rs
@@ -11,7 +11,7 @@
 
 /// The homes of one group and what they follow from.
 ///
-/// Ranking hundreds of instances for each target at each look, and for each session, would take a small machine a good
+/// Ranking hundreds of instances for each target at each look, and for each session, would use_plan a small machine a good
 /// part of its processor.
 pub(crate) struct HomePlan {
     epoch: Epoch,
@@ -19,7 +19,7 @@
     /// `None` if every instance connects itself.
     homes: Option<Rc<Homes>>,
     /// Addresses of the homes in all data centres; worked out where this instance looks at the group.
-    everywhere: Option<Vec<SocketAddr>>,
+    all_data_centres: Option<Vec<SocketAddr>>,
 }
 
 impl Proxy {
@@ -29,15 +29,15 @@
     }
 
     /// Addresses of the homes of `group` in all data centres.
-    pub(crate) fn addresses_of_homes(&self, group: &GroupName) -> Vec<SocketAddr> {
+    pub(crate) fn home_addresses(&self, group: &GroupName) -> Vec<SocketAddr> {
         let Some(allowance) = self.allowance(group) else { return Vec::new() };
         let members = self.members();
         self.with_plan(group, allowance, |plan| {
-            let everywhere = plan.everywhere.get_or_insert_with(|| {
-                let homes = homes::everywhere(group, allowance, &members);
+            let all_data_centres = plan.all_data_centres.get_or_insert_with(|| {
+                let homes = homes::all_data_centres(group, allowance, &members);
                 homes.into_iter().map(|it| it.address).collect()
             });
-            everywhere.clone()
+            all_data_centres.clone()
         })
     }
 
@@ -45,21 +45,21 @@
         &self,
         group: &GroupName,
         allowance: Allowance,
-        take: impl FnOnce(&mut HomePlan) -> T,
+        use_plan: impl FnOnce(&mut HomePlan) -> T,
     ) -> T {
         let epoch = self.peers.epoch(self.borders.clock.boot_now());
-        let work_out = || HomePlan {
+        let compute = || HomePlan {
             epoch,
             allowance,
             homes: homes::homes(group, allowance, &self.own.data_centre, &self.members())
                 .map(Rc::new),
-            everywhere: None,
+            all_data_centres: None,
         };
         let mut plans = self.home_plans.borrow_mut();
-        let plan = plans.entry(group.clone()).or_insert_with(work_out);
+        let plan = plans.entry(group.clone()).or_insert_with(compute);
         if plan.epoch != epoch || plan.allowance != allowance {
-            *plan = work_out();
+            *plan = compute();
         }
-        take(plan)
+        use_plan(plan)
     }
 }
--- a/crates/gullspar_direct/src/fleet/homes.rs
+++ b/crates/gullspar_direct/src/fleet/homes.rs
@@ -1,6 +1,6 @@
 //! Which instances hold connections to a group's targets.
 //!
-//! A few instances can each hold their share of a target's connections. When a share would be less than two,
+//! A few instances can per_data_centre hold their share of a target's connections. When a share would be less than two,
 //! only some of them do, the group's homes, and the others hand sessions on to them.
 
 use gullspar_model::{DataCentre, GroupName, InstanceId};
@@ -10,15 +10,15 @@
 
 /// The least share of connections with which every instance connects itself: one for statements and one for
 /// a transaction beside it.
-const LEAST_SHARE: usize = 2;
+const MIN_SHARE: usize = 2;
 
 /// Instances that stand in for homes that can't be reached, in the order of preference.
 const SPARE_HOMES: usize = 2;
 
 /// The fewest connections to a target that a home should hold.
-const PER_HOME: usize = 5;
+const MIN_CONNECTIONS_PER_HOME: usize = 5;
 
-/// What each target of a group allows.
+/// What per_data_centre target of a group allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Allowance {
     /// Connections from all instances together.
@@ -27,18 +27,22 @@
     pub(crate) slots: u32,
 }
 
-/// How many homes a group has in each data centre; `None` if every instance connects itself.
+/// How many homes a group has in per_data_centre data centre; `None` if every instance connects itself.
 ///
-/// No more than can each run a statement: all of them together may use one and a half times the slots.
+/// No more than can per_data_centre run a statement: all of them together may use one and a half times the slots.
 /// More of them would send more at once, which would wait in the target's own queue, where neither priority nor deadline
 /// counts, and overflow it.
-fn homes_each(allowance: Allowance, members: usize, data_centres: usize) -> Option<usize> {
+fn homes_per_data_centre(
+    allowance: Allowance,
+    members: usize,
+    data_centres: usize,
+) -> Option<usize> {
     let planned = admission_limit::planned(allowance.connections) as usize;
-    if planned / members.max(1) >= LEAST_SHARE {
+    if planned / members.max(1) >= MIN_SHARE {
         return None;
     }
     let data_centres = data_centres.max(1);
-    let by_connections = planned / PER_HOME / data_centres;
+    let by_connections = planned / MIN_CONNECTIONS_PER_HOME / data_centres;
     let percent = admission_limit::statement_percent(allowance.slots, data_centres);
     let by_slots = percent.div_ceil(100) as usize;
     Some(by_connections.min(by_slots).max(1))
@@ -51,7 +55,7 @@
     pub(crate) ranked: Vec<Member>,
     /// How many of `ranked` are homes.
     pub(crate) count: usize,
-    /// How many instances hold connections to each of the group's targets.
+    /// How many instances hold connections to per_data_centre of the group's targets.
     pub(crate) holders: usize,
 }
 
@@ -62,35 +66,37 @@
     own: &DataCentre,
     members: &Members,
 ) -> Option<Homes> {
-    let places = members.by_data_centre();
-    let each = homes_each(allowance, members.len(), places.len())?;
-    let mut ranked = by_distance(group, members.near(own));
-    let count = if ranked.is_empty() { each } else { each.min(ranked.len()) };
+    let data_centres = members.by_data_centre();
+    let per_data_centre = homes_per_data_centre(allowance, members.len(), data_centres.len())?;
+    let mut ranked = rank_by_distance(group, members.near(own));
+    let count = if ranked.is_empty() { per_data_centre } else { per_data_centre.min(ranked.len()) };
     if ranked.len() < count + SPARE_HOMES {
         let far = members.iter().filter(|it| it.data_centre != *own);
-        ranked.extend(by_distance(group, far));
+        ranked.extend(rank_by_distance(group, far));
     }
     ranked.truncate(count + SPARE_HOMES);
     let ranked = ranked.into_iter().cloned().collect();
-    let holders = places.map(|it| each.min(it.len())).sum();
+    let holders = data_centres.map(|it| per_data_centre.min(it.len())).sum();
     Some(Homes { ranked, count, holders })
 }
 
 /// The homes of `group` in all data centres; none if every instance connects itself.
-pub(crate) fn everywhere<'a>(
+pub(crate) fn all_data_centres<'a>(
     group: &GroupName,
     allowance: Allowance,
     members: &'a Members,
 ) -> Vec<&'a Member> {
-    let places = members.by_data_centre();
-    let Some(each) = homes_each(allowance, members.len(), places.len()) else {
+    let data_centres = members.by_data_centre();
+    let Some(per_data_centre) = homes_per_data_centre(allowance, members.len(), data_centres.len())
+    else {
         return members.iter().collect();
     };
-    let homes = places.flat_map(|it| by_distance(group, it).into_iter().take(each));
+    let homes =
+        data_centres.flat_map(|it| rank_by_distance(group, it).into_iter().take(per_data_centre));
     homes.collect()
 }
 
-fn by_distance<'a>(
+fn rank_by_distance<'a>(
     group: &GroupName,
     members: impl IntoIterator<Item = &'a Member>,
 ) -> Vec<&'a Member> {
--- a/crates/gullspar_direct/src/fleet/last_known.rs
+++ b/crates/gullspar_direct/src/fleet/last_known.rs
@@ -14,14 +14,14 @@
 }
 
 impl LastKnown {
-    pub(crate) fn note(&self, at: BootInstant) {
+    pub(crate) fn record(&self, at: BootInstant) {
         self.at.set(self.at.get().max(Some(at)));
     }
 
     /// Takes what another instance told at `now`.
-    pub(crate) fn take(&self, age_ms: Option<u32>, now: BootInstant) {
+    pub(crate) fn record_age(&self, age_ms: Option<u32>, now: BootInstant) {
         if let Some(age_ms) = age_ms {
-            self.note(now.minus(Duration::from_millis(u64::from(age_ms))));
+            self.record(now.minus(Duration::from_millis(u64::from(age_ms))));
         }
     }
 
--- a/crates/gullspar_direct/src/fleet/limits.rs
+++ b/crates/gullspar_direct/src/fleet/limits.rs
@@ -21,17 +21,17 @@
 use crate::{PeerMessage, Phase, Proxy};
 
 /// How long the owner of a quota may take to answer before it is asked again.
-const ASK_WITHIN: Duration = Duration::from_millis(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Questions without an answer after which operations go on without the owner.
-const TRIES: u32 = 2;
+const MAX_UNANSWERED: u32 = 2;
 
 /// One customer as this instance serves it.
 struct Account {
     leased: RefCell<LeasedTokens>,
     /// Operations that wait for tokens.
     waiting: Cell<u32>,
-    asked_at: Cell<Option<BootInstant>>,
+    requested_at: Cell<Option<BootInstant>>,
     /// Its owner does not answer, or grants nothing yet; operations don't wait for it.
     is_unfunded: Cell<bool>,
     owner: RefCell<Option<(Epoch, SocketAddr)>>,
@@ -40,10 +40,10 @@
 
 /// What decides who keeps which quota.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct Owners {
+struct OwnershipBasis {
     members: Epoch,
     /// This instance takes part no more.
-    leaves: bool,
+    is_leaving: bool,
 }
 
 /// The limits that this instance keeps, and those that it is kept to.
@@ -52,7 +52,7 @@
     quotas: RefCell<OwnedQuotas>,
     accounts: RefCell<BTreeMap<CustomerName, Rc<Account>>>,
     /// Among whom the quotas are kept, and since when.
-    owned_by: Cell<Option<(Owners, BootInstant)>>,
+    ownership: Cell<Option<(OwnershipBasis, BootInstant)>>,
     /// The part of the fleet that this instance grants for, in percent.
     part_percent: Cell<u32>,
 }
@@ -73,39 +73,39 @@
             return Ok(());
         }
         let account = self.account(customer);
-        let mut tries = 0;
+        let mut unanswered = 0;
         loop {
             let now = self.borders.clock.boot_now();
             let spending = account.leased.borrow_mut().spend(now);
             match spending {
                 Spending::Granted => {
                     if account.leased.borrow().runs_low(now) {
-                        self.ask(customer, &account, now);
+                        self.request_tokens(customer, &account, now);
                     }
                     return Ok(());
                 }
                 Spending::Exhausted { retry_after } => {
-                    return Err(self.limited(customer, retry_after));
+                    return Err(self.over_limit(customer, retry_after));
                 }
                 Spending::Unfunded => {}
             }
-            if tries == TRIES {
+            if unanswered == MAX_UNANSWERED {
                 account.is_unfunded.set(true);
             }
             if account.is_unfunded.get() {
-                self.ask(customer, &account, now);
-                return self.run_in_grace(customer, &account, now);
+                self.request_tokens(customer, &account, now);
+                return self.run_in_grace_period(customer, &account, now);
             }
             let answered = account.answered.listen();
             account.waiting.set(account.waiting.get() + 1);
-            self.ask(customer, &account, now);
-            let until = (self.borders.clock.now() + ASK_WITHIN).min(deadline);
+            self.request_tokens(customer, &account, now);
+            let until = (self.borders.clock.now() + REQUEST_TIMEOUT).min(deadline);
             // Its own quota has answered by now.
-            if account.asked_at.get().is_some()
+            if account.requested_at.get().is_some()
                 && within(&*self.borders.clock, until, answered).await.is_err()
             {
-                tries += 1;
-                account.asked_at.set(None);
+                unanswered += 1;
+                account.requested_at.set(None);
             }
             account.waiting.set(account.waiting.get() - 1);
         }
@@ -120,7 +120,7 @@
         }
     }
 
-    fn run_in_grace(
+    fn run_in_grace_period(
         &self,
         customer: &CustomerName,
         account: &Account,
@@ -130,10 +130,10 @@
             self.borders.stats.ran_in_grace();
             return Ok(());
         }
-        Err(self.limited(customer, ASK_WITHIN))
+        Err(self.over_limit(customer, REQUEST_TIMEOUT))
     }
 
-    fn limited(&self, customer: &CustomerName, retry_after: Duration) -> NotRun {
+    fn over_limit(&self, customer: &CustomerName, retry_after: Duration) -> NotRun {
         let retry_after_ms = retry_after.as_millis() as u64;
         log::info!(customer = customer.as_str(), retry_after_ms = retry_after_ms; "G0767 an operation is refused: its customer is at its limit");
         self.borders.stats.limited();
@@ -148,7 +148,7 @@
         let account = Rc::new(Account {
             leased: RefCell::new(LeasedTokens::new(self.borders.clock.boot_now())),
             waiting: Cell::new(0),
-            asked_at: Cell::new(None),
+            requested_at: Cell::new(None),
             is_unfunded: Cell::new(false),
             owner: RefCell::new(None),
             answered: Event::new(),
@@ -158,12 +158,12 @@
     }
 
     /// Asks the owner for tokens unless an answer is on its way.
-    fn ask(&self, customer: &CustomerName, account: &Account, now: BootInstant) {
-        let asked_at = account.asked_at.get();
-        if asked_at.is_some_and(|at| now.since(at) < ASK_WITHIN) {
+    fn request_tokens(&self, customer: &CustomerName, account: &Account, now: BootInstant) {
+        let requested_at = account.requested_at.get();
+        if requested_at.is_some_and(|at| now.since(at) < REQUEST_TIMEOUT) {
             return;
         }
-        account.asked_at.set(Some(now));
+        account.requested_at.set(Some(now));
         let wanted = account.leased.borrow().wanted(account.waiting.get().max(1), now);
         let req = TokenRequest {
             customer: customer.clone(),
@@ -171,28 +171,28 @@
             reply_to: self.own.address,
             is_passed_on: false,
         };
-        let owner = self.owner_as_known(customer, account, now);
+        let owner = self.cached_owner(customer, account, now);
         if owner == self.own.address {
             let grant = self.grant(&req, now);
-            self.take_grant(&grant);
+            self.apply_grant(&grant);
         } else {
             self.borders.peers.send(owner, &PeerMessage::TokenRequest(req));
         }
     }
 
-    fn owner_as_known(
+    fn cached_owner(
         &self,
         customer: &CustomerName,
         account: &Account,
         now: BootInstant,
     ) -> SocketAddr {
         let epoch = self.peers.epoch(now);
-        let mut known = account.owner.borrow_mut();
-        match *known {
+        let mut cached = account.owner.borrow_mut();
+        match *cached {
             Some((at, owner)) if at == epoch => owner,
             _ => {
                 let owner = self.quota_owner(customer);
-                *known = Some((epoch, owner));
+                *cached = Some((epoch, owner));
                 owner
             }
         }
@@ -201,16 +201,16 @@
     /// The instance that keeps the quota of `customer`, as far as this one knows.
     fn quota_owner(&self, customer: &CustomerName) -> SocketAddr {
         let members = self.members();
-        // Others no longer count one that leaves.
-        let leaves = self.leaves();
+        // Others no longer count one that is_leaving.
+        let is_leaving = self.is_leaving();
         let nearest = members
             .iter()
-            .filter(|it| !leaves || it.id != self.own.id)
+            .filter(|it| !is_leaving || it.id != self.own.id)
             .max_by_key(|it| homes::weight(customer.as_str(), &it.id));
         nearest.map_or(self.own.address, |it| it.address)
     }
 
-    fn leaves(&self) -> bool {
+    fn is_leaving(&self) -> bool {
         self.shutdown.phase() != Phase::Serving
     }
 
@@ -222,13 +222,13 @@
             self.borders.peers.send(req.reply_to, &PeerMessage::TokenGrant(grant));
         } else if !req.is_passed_on {
             // Instances learn of each other at different moments.
-            let passed_on = TokenRequest { is_passed_on: true, ..req.clone() };
-            self.borders.peers.send(owner, &PeerMessage::TokenRequest(passed_on));
+            let forwarded = TokenRequest { is_passed_on: true, ..req.clone() };
+            self.borders.peers.send(owner, &PeerMessage::TokenRequest(forwarded));
         }
     }
 
     /// Goes on with a quota that another instance kept before.
-    pub(crate) fn take_quota(&self, handover: &QuotaHandover) {
+    pub(crate) fn apply_quota_handover(&self, handover: &QuotaHandover) {
         let limit = self.directory.catalogue().and_then(|it| it.limit(&handover.customer));
         if let Some(limit) = limit {
             let now = self.borders.clock.boot_now();
@@ -250,11 +250,12 @@
 
     /// Hands over the quotas that other instances keep now; gives since when the members are what they are.
     pub(crate) fn hand_over_quotas(&self, now: BootInstant) -> BootInstant {
-        let owners = Owners { members: self.peers.epoch(now), leaves: self.leaves() };
-        match self.limits.owned_by.get() {
-            Some((known, since)) if known == owners => since,
+        let basis =
+            OwnershipBasis { members: self.peers.epoch(now), is_leaving: self.is_leaving() };
+        match self.limits.ownership.get() {
+            Some((cached, since)) if cached == basis => since,
             _ => {
-                self.limits.owned_by.set(Some((owners, now)));
+                self.limits.ownership.set(Some((basis, now)));
                 self.limits.part_percent.set(self.peers.reachable_percent(now));
                 let mut quotas = self.limits.quotas.borrow_mut();
                 let closed = quotas.close(|it| self.quota_owner(it) == self.own.address);
@@ -268,13 +269,13 @@
     }
 
     /// Takes what a owner granted.
-    pub(crate) fn take_grant(&self, grant: &TokenGrant) {
+    pub(crate) fn apply_grant(&self, grant: &TokenGrant) {
         let account = self.limits.accounts.borrow().get(&grant.customer).cloned();
         let Some(account) = account else { return };
         let now = self.borders.clock.boot_now();
         account.leased.borrow_mut().take(grant, now);
         account.is_unfunded.set(grant.is_settling);
-        account.asked_at.set(None);
+        account.requested_at.set(None);
         account.answered.notify(usize::MAX);
     }
 
--- a/crates/gullspar_direct/src/fleet/mod.rs
+++ b/crates/gullspar_direct/src/fleet/mod.rs
@@ -1,7 +1,6 @@
 //! The instances together: who is there, what they tell each other, and which of them serves what.
 
-pub(crate) mod cut_off;
-pub(crate) mod detour;
+pub(crate) mod alternate_route;
 pub(crate) mod discovery;
 pub(crate) mod heartbeat;
 pub(crate) mod heartbeats;
@@ -11,6 +10,7 @@
 pub(crate) mod last_known;
 pub(crate) mod limits;
 pub(crate) mod members;
+pub(crate) mod partition;
 pub(crate) mod peer_message;
 pub(crate) mod peer_table;
 pub(crate) mod registry;
--- a/crates/gullspar_direct/src/fleet/peer_table.rs
+++ b/crates/gullspar_direct/src/fleet/peer_table.rs
@@ -17,14 +17,14 @@
 
 /// How long word of an instance that reaches the platform's store holds; it is passed on from contact to contact, and
 /// takes a heartbeat for each step.
-const STORE_KNOWN_FOR: Duration = Duration::from_secs(2);
+const STORE_CONTACT_TTL: Duration = Duration::from_secs(2);
 
 /// How long word of a home that reaches its leaders holds: a few steps through a data centre.
-const HOME_KNOWN_FOR: Duration = Duration::from_millis(700);
+const HOME_CONTACT_TTL: Duration = Duration::from_millis(700);
 
 /// How long an instance that no longer looks at a group goes on telling those that do; they would count its last view
 /// for as long as the dead count.
-const CLOSE_FOR: Duration = Duration::from_secs(2);
+const GROUP_PEER_TTL: Duration = Duration::from_secs(2);
 
 /// A number that grows with each change of the members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,22 +32,22 @@
 
 /// What the members follow from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Basis {
+struct CacheKey {
     generation: u64,
     /// Whether instances that were not heard yet are among them.
-    expecting: bool,
+    includes_expected: bool,
 }
 
 #[derive(Default)]
 struct CachedMembers {
     /// `None` if they have to be collected anew.
-    basis: Option<Basis>,
+    key: Option<CacheKey>,
     epoch: Epoch,
     members: Rc<Members>,
 }
 
 /// An instance that is told what this one sees.
-struct Close {
+struct GroupPeer {
     /// The groups that both look at.
     groups: BTreeSet<GroupName>,
     until: BootInstant,
@@ -59,10 +59,10 @@
     membership: RefCell<Membership>,
     pub(crate) views: Views,
     /// Instances that look at the same groups, and until when they are told each time.
-    close: RefCell<BTreeMap<SocketAddr, Close>>,
-    store_known: LastKnown,
-    home_known: LastKnown,
-    /// Instances that are taken to work although they were not heard yet, and until when.
+    group_peers: RefCell<BTreeMap<SocketAddr, GroupPeer>>,
+    store_contact: LastKnown,
+    home_contact: LastKnown,
+    /// Instances that are outcome to work although they were not heard yet, and until when.
     expected: RefCell<Vec<Member>>,
     expected_until: Cell<Option<BootInstant>>,
     cached: RefCell<CachedMembers>,
@@ -76,9 +76,9 @@
             membership: RefCell::new(Membership::new(own.clone(), seeds)),
             own,
             views: Views::default(),
-            close: RefCell::default(),
-            store_known: LastKnown::default(),
-            home_known: LastKnown::default(),
+            group_peers: RefCell::default(),
+            store_contact: LastKnown::default(),
+            home_contact: LastKnown::default(),
             expected: RefCell::default(),
             expected_until: Cell::new(None),
             cached: RefCell::default(),
@@ -87,17 +87,17 @@
     }
 
     /// Takes a heartbeat that arrived at `now`.
-    pub(crate) fn take(&self, heartbeat: Heartbeat, now: BootInstant) -> GossipOutcome {
-        let taken = self.membership.borrow_mut().handle_gossip(&heartbeat.gossip, now);
-        self.store_known.take(heartbeat.store_age_ms, now);
+    pub(crate) fn handle_heartbeat(&self, heartbeat: Heartbeat, now: BootInstant) -> GossipOutcome {
+        let outcome = self.membership.borrow_mut().handle_gossip(&heartbeat.gossip, now);
+        self.store_contact.record_age(heartbeat.store_age_ms, now);
         if heartbeat.member().data_centre == self.own.data_centre {
-            self.home_known.take(heartbeat.home_age_ms, now);
+            self.home_contact.record_age(heartbeat.home_age_ms, now);
         }
-        self.views.take(heartbeat, now);
-        if taken.has_updates {
+        self.views.record(heartbeat, now);
+        if outcome.has_updates {
             self.changed.notify(usize::MAX);
         }
-        taken
+        outcome
     }
 
     /// Notified when there are news of instances to pass on.
@@ -130,7 +130,7 @@
         dead
     }
 
-    /// Begins a round of heartbeats; gives whom to send one beside those that are close.
+    /// Begins a round of heartbeats; gives whom to send one beside those that are group_peers.
     pub(crate) fn begin_round(&self, random: u64, now: BootInstant) -> Vec<SocketAddr> {
         self.membership.borrow_mut().begin_round(random, now)
     }
@@ -145,74 +145,81 @@
         self.membership.borrow_mut().answer(gossip, now)
     }
 
-    /// Tells the instances that are `looking` at the same groups each time from now on, and some time longer.
-    pub(crate) fn keep_close(
+    /// Tells the instances that are `found` at the same groups each time from now on, and some time longer.
+    pub(crate) fn update_group_peers(
         &self,
-        looking: BTreeMap<SocketAddr, BTreeSet<GroupName>>,
+        found: BTreeMap<SocketAddr, BTreeSet<GroupName>>,
         now: BootInstant,
     ) {
-        let mut close = self.close.borrow_mut();
-        close.retain(|_, it| now < it.until);
-        close.values_mut().for_each(|it| it.groups.clear());
-        let until = now.plus(CLOSE_FOR);
-        let others = looking.into_iter().filter(|(address, _)| *address != self.own.address);
-        close.extend(others.map(|(address, groups)| (address, Close { groups, until })));
+        let mut group_peers = self.group_peers.borrow_mut();
+        group_peers.retain(|_, it| now < it.until);
+        group_peers.values_mut().for_each(|it| it.groups.clear());
+        let until = now.plus(GROUP_PEER_TTL);
+        let others = found.into_iter().filter(|(address, _)| *address != self.own.address);
+        group_peers.extend(others.map(|(address, groups)| (address, GroupPeer { groups, until })));
     }
 
-    /// The instances that are told what this one sees of its groups, of those whose common groups are `chosen`.
-    pub(crate) fn close(&self, chosen: impl Fn(&BTreeSet<GroupName>) -> bool) -> Vec<SocketAddr> {
-        let close = self.close.borrow();
-        close.iter().filter(|(_, it)| chosen(&it.groups)).map(|(address, _)| *address).collect()
+    /// The instances that are told what this one sees of its groups, of those whose common groups are `is_selected`.
+    pub(crate) fn group_peers(
+        &self,
+        is_selected: impl Fn(&BTreeSet<GroupName>) -> bool,
+    ) -> Vec<SocketAddr> {
+        let group_peers = self.group_peers.borrow();
+        group_peers
+            .iter()
+            .filter(|(_, it)| is_selected(&it.groups))
+            .map(|(address, _)| *address)
+            .collect()
     }
 
     /// The groups that this instance and the one at `address` look at.
-    pub(crate) fn in_common(&self, address: SocketAddr) -> BTreeSet<GroupName> {
-        self.close.borrow().get(&address).map(|it| it.groups.clone()).unwrap_or_default()
+    pub(crate) fn shared_groups(&self, address: SocketAddr) -> BTreeSet<GroupName> {
+        self.group_peers.borrow().get(&address).map(|it| it.groups.clone()).unwrap_or_default()
     }
 
     /// This instance reaches the platform's store.
-    pub(crate) fn note_store(&self, now: BootInstant) {
-        self.store_known.note(now);
+    pub(crate) fn record_store_contact(&self, now: BootInstant) {
+        self.store_contact.record(now);
     }
 
     pub(crate) fn store_age_ms(&self, now: BootInstant) -> Option<u32> {
-        self.store_known.age_ms(now)
+        self.store_contact.age_ms(now)
     }
 
     /// Whether any instance is known to reach the platform's store.
     pub(crate) fn is_store_reachable_by_any(&self, now: BootInstant) -> bool {
-        self.store_known.is_within(STORE_KNOWN_FOR, now)
+        self.store_contact.is_within(STORE_CONTACT_TTL, now)
     }
 
     /// This instance is a home and reaches its leaders.
-    pub(crate) fn note_home(&self, now: BootInstant) {
-        self.home_known.note(now);
+    pub(crate) fn record_home_contact(&self, now: BootInstant) {
+        self.home_contact.record(now);
     }
 
     pub(crate) fn home_age_ms(&self, now: BootInstant) -> Option<u32> {
-        self.home_known.age_ms(now)
+        self.home_contact.age_ms(now)
     }
 
     /// Whether any home in this data centre is known to reach its leaders.
-    pub(crate) fn is_home_at_work(&self, now: BootInstant) -> bool {
-        self.home_known.is_within(HOME_KNOWN_FOR, now)
+    pub(crate) fn has_working_home(&self, now: BootInstant) -> bool {
+        self.home_contact.is_within(HOME_CONTACT_TTL, now)
     }
 
     /// The instances heard lately whose news are newer than `version` and `revision`.
-    pub(crate) fn ahead(
+    pub(crate) fn peers_with_updates(
         &self,
         version: u64,
         revision: Option<Revision>,
         now: BootInstant,
     ) -> Vec<Member> {
-        self.views.ahead(version, revision, STORE_KNOWN_FOR, now)
+        self.views.peers_with_updates(version, revision, STORE_CONTACT_TTL, now)
     }
 
     /// Takes `members` for instances at work until they are heard, but no longer than to `until`.
-    pub(crate) fn expect(&self, members: Vec<Member>, until: BootInstant) {
+    pub(crate) fn set_expected_members(&self, members: Vec<Member>, until: BootInstant) {
         *self.expected.borrow_mut() = members;
         self.expected_until.set(Some(until));
-        self.cached.borrow_mut().basis = None;
+        self.cached.borrow_mut().key = None;
     }
 
     /// Changes whenever the members do.
@@ -231,24 +238,24 @@
     ///
     /// Most of what changes is who is suspected, and leaves the members as they are.
     fn refresh(&self, now: BootInstant) {
-        let expecting = self.expected_until.get().is_some_and(|until| now < until);
-        let basis = Basis { generation: self.membership.borrow().generation(), expecting };
+        let includes_expected = self.expected_until.get().is_some_and(|until| now < until);
+        let key = CacheKey { generation: self.membership.borrow().generation(), includes_expected };
         let mut cached = self.cached.borrow_mut();
-        if cached.basis == Some(basis) {
+        if cached.key == Some(key) {
             return;
         }
-        cached.basis = Some(basis);
-        let members = self.collect_members(expecting);
+        cached.key = Some(key);
+        let members = self.collect_members(includes_expected);
         if members[..] != cached.members[..] {
             cached.epoch = Epoch(cached.epoch.0 + 1);
             cached.members = Rc::new(Members::new(members));
         }
     }
 
-    fn collect_members(&self, expecting: bool) -> Vec<Member> {
+    fn collect_members(&self, includes_expected: bool) -> Vec<Member> {
         let membership = self.membership.borrow();
         let mut members: Vec<Member> = membership.members().cloned().collect();
-        if expecting {
+        if includes_expected {
             let expected = self.expected.borrow();
             members.extend(expected.iter().filter(|it| !membership.knows(&it.id)).cloned());
         }
@@ -257,14 +264,14 @@
     }
 
     /// Other instances that are alive, those on their way out included.
-    pub(crate) fn running(&self) -> usize {
+    pub(crate) fn running_count(&self) -> usize {
         self.membership.borrow().running().count()
     }
 
     /// Whether `id` is alive, on its way out or not.
     pub(crate) fn is_running(&self, id: &InstanceId, now: BootInstant) -> bool {
         let is_member = || self.membership.borrow().running().any(|it| it.id == *id);
-        self.views.is_heard(id, now) || is_member()
+        self.views.is_responsive(id, now) || is_member()
     }
 
     /// Whether most of the instances that count are out of this one's reach.
--- a/crates/gullspar_direct/src/fleet/views.rs
+++ b/crates/gullspar_direct/src/fleet/views.rs
@@ -1,4 +1,4 @@
-//! What instances that were heard say of groups and of themselves.
+//! What instances that were received say of groups and of themselves.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,19 +11,19 @@
 
 use crate::{Heartbeat, LeaderHealth};
 
-/// An instance heard within this time is alive: five heartbeats in a row may get lost.
-const ALIVE_FOR: Duration = Duration::from_millis(1200);
+/// An instance received within this time is alive: five heartbeats in a row may get lost.
+const ALIVE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// A view of a group older than this says nothing about its leader any more.
-const VIEW_HOLDS_FOR: Duration = Duration::from_millis(700);
+const VIEW_TTL: Duration = Duration::from_millis(700);
 
 /// A view older than this no longer shows that nobody has decided on another leader.
 ///
 /// One heartbeat may get lost. Behind a cut the others order a successor some time after they see that the leader is out
 /// of their reach, which takes them longer than this.
-const VOUCH_HOLDS_FOR: Duration = Duration::from_millis(350);
+const CONFIRMATION_TTL: Duration = Duration::from_millis(350);
 
-struct Heard {
+struct Received {
     heartbeat: Heartbeat,
     at: BootInstant,
 }
@@ -33,23 +33,23 @@
 /// The latter tell each other directly, so that how old a view is does not depend on the size of the fleet.
 #[derive(Default)]
 pub(crate) struct Views {
-    heard: RefCell<BTreeMap<InstanceId, Heard>>,
+    received: RefCell<BTreeMap<InstanceId, Received>>,
 }
 
 impl Views {
-    pub(crate) fn take(&self, heartbeat: Heartbeat, now: BootInstant) {
+    pub(crate) fn record(&self, heartbeat: Heartbeat, now: BootInstant) {
         let from = heartbeat.from().clone();
-        self.heard.borrow_mut().insert(from, Heard { heartbeat, at: now });
+        self.received.borrow_mut().insert(from, Received { heartbeat, at: now });
     }
 
     /// Forgets instances that were silent for so long that they count no more.
     pub(crate) fn forget_silent(&self, now: BootInstant) {
-        self.heard.borrow_mut().retain(|_, it| now.since(it.at) < DEAD_COUNTED_PERIOD);
+        self.received.borrow_mut().retain(|_, it| now.since(it.at) < DEAD_COUNTED_PERIOD);
     }
 
     /// Names of the instances that look at `group` and stay.
     pub(crate) fn monitoring_ids(&self, group: &GroupName, now: BootInstant) -> Vec<InstanceId> {
-        self.select(now, ALIVE_FOR, |it| {
+        self.select(now, ALIVE_TIMEOUT, |it| {
             let has_view = it.view(group).is_some();
             (!it.is_leaving() && has_view).then(|| it.from().clone())
         })
@@ -64,22 +64,22 @@
         self.select(now, DEAD_COUNTED_PERIOD, |it| it.view(group).map(|_| it.address()))
     }
 
-    /// Whether `id` was heard lately.
-    pub(crate) fn is_heard(&self, id: &InstanceId, now: BootInstant) -> bool {
-        self.heard.borrow().get(id).is_some_and(|it| now.since(it.at) < ALIVE_FOR)
+    /// Whether `id` was received lately.
+    pub(crate) fn is_responsive(&self, id: &InstanceId, now: BootInstant) -> bool {
+        self.received.borrow().get(id).is_some_and(|it| now.since(it.at) < ALIVE_TIMEOUT)
     }
 
     /// Instances that count in a majority about `group`, this one included: those that look at it.
     pub(crate) fn counted_for(&self, group: &GroupName, now: BootInstant) -> usize {
-        let looks = |it: &Heartbeat| {
+        let monitors = |it: &Heartbeat| {
             let has_view = it.view(group).is_some();
             (!it.is_leaving() && has_view).then_some(())
         };
-        1 + self.select(now, DEAD_COUNTED_PERIOD, looks).len()
+        1 + self.select(now, DEAD_COUNTED_PERIOD, monitors).len()
     }
 
     /// Whether at least half of the instances that count see `leader` lead `group`.
-    pub(crate) fn others_see_lead(
+    pub(crate) fn is_seen_leading_by_majority(
         &self,
         group: &GroupName,
         leader: &MemberName,
@@ -90,7 +90,7 @@
             let leads = view.health == LeaderHealth::Leads && view.leader.as_ref() == Some(leader);
             leads.then_some(())
         };
-        2 * self.select(now, VIEW_HOLDS_FOR, sees).len() > self.counted_for(group, now)
+        2 * self.select(now, VIEW_TTL, sees).len() > self.counted_for(group, now)
     }
 
     /// Whether most of the instances that count, this one included, have spoken since `since` and not against
@@ -104,7 +104,7 @@
         since: BootInstant,
         now: BootInstant,
     ) -> bool {
-        let vouches = |it: &Heartbeat| {
+        let confirms = |it: &Heartbeat| {
             let view = it.view(group)?;
             let not_against = match view.health {
                 LeaderHealth::Leads => view.leader.as_ref() == Some(leader),
@@ -114,18 +114,19 @@
             };
             not_against.then_some(())
         };
-        let vouching = 1 + self.select(now, now.since(since).min(VOUCH_HOLDS_FOR), vouches).len();
-        2 * vouching > self.counted_for(group, now)
+        let confirming =
+            1 + self.select(now, now.since(since).min(CONFIRMATION_TTL), confirms).len();
+        2 * confirming > self.counted_for(group, now)
     }
 
     /// Other instances that take work and lately saw `group` led by somebody.
-    pub(crate) fn seeing_leader(&self, group: &GroupName, now: BootInstant) -> Vec<Member> {
+    pub(crate) fn members_seeing_leader(&self, group: &GroupName, now: BootInstant) -> Vec<Member> {
         let sees = |it: &Heartbeat| {
             let view = it.view(group)?;
             let leads = view.health == LeaderHealth::Leads;
             (!it.is_leaving() && leads).then(|| it.member().clone())
         };
-        self.select(now, VIEW_HOLDS_FOR, sees)
+        self.select(now, VIEW_TTL, sees)
     }
 
     /// Whether any other instance lately saw `group` led by somebody.
@@ -134,7 +135,7 @@
             let view = it.view(group)?;
             (view.health == LeaderHealth::Leads).then_some(())
         };
-        !self.select(now, VIEW_HOLDS_FOR, sees).is_empty()
+        !self.select(now, VIEW_TTL, sees).is_empty()
     }
 
     /// Other instances that lately saw no working leader in `group`, or saw this one fail.
@@ -154,27 +155,29 @@
                 LeaderHealth::Leads | LeaderHealth::Unsure => None,
             }
         };
-        self.select(now, VIEW_HOLDS_FOR, against).len()
+        self.select(now, VIEW_TTL, against).len()
     }
 
-    /// The instances heard lately whose news are newer than `version` and `revision`.
+    /// The instances received lately whose news are newer than `version` and `revision`.
     ///
     /// A list of targets is taken from one that knows of an instance that the store still answers: one that is cut off
     /// from it may hold a list from a moment at which most entries had lapsed.
-    pub(crate) fn ahead(
+    pub(crate) fn peers_with_updates(
         &self,
         version: u64,
         revision: Option<Revision>,
-        store_known_for: Duration,
+        store_contact_ttl: Duration,
         now: BootInstant,
     ) -> Vec<Member> {
-        let limit = store_known_for.as_millis();
+        let ttl_ms = store_contact_ttl.as_millis();
         let is_ahead = |it: &Heartbeat| {
-            let by_store = it.store_age_ms.is_some_and(|age| u128::from(age) < limit);
-            let list = revision.is_some_and(|known| it.target_revision > known && by_store);
-            (it.catalogue_version > version || list).then(|| it.member().clone())
+            let has_recent_store_contact =
+                it.store_age_ms.is_some_and(|age| u128::from(age) < ttl_ms);
+            let has_newer_targets = revision
+                .is_some_and(|known| it.target_revision > known && has_recent_store_contact);
+            (it.catalogue_version > version || has_newer_targets).then(|| it.member().clone())
         };
-        self.select(now, ALIVE_FOR, is_ahead)
+        self.select(now, ALIVE_TIMEOUT, is_ahead)
     }
 
     fn select<T>(
@@ -183,8 +186,8 @@
         within: Duration,
         pick: impl Fn(&Heartbeat) -> Option<T>,
     ) -> Vec<T> {
-        let heard = self.heard.borrow();
-        heard
+        let received = self.received.borrow();
+        received
             .values()
             .filter(|it| now.since(it.at) < within)
             .filter_map(|it| pick(&it.heartbeat))
