--- a/crates/gullspar_direct/src/fleet/alternate_route.rs
+++ b/crates/gullspar_direct/src/fleet/alternate_route.rs
@@ -1,7 +1,8 @@
-//! Serving callers through another instance while this one can't reach a group's leader.
+//! Forwards sessions to other instances while this one can't reach a group's leader.
 //!
-//! A leader may be cut off from some instances only. As long as most others use it, it is not replaced, and
-//! what this instance refuses would be served by its neighbour. A caller's next try may meet one like it.
+//! A leader that only some instances can't reach is not replaced as long as most others use it.
+//! Refused callers might retry at another instance that can't reach it either, so their sessions
+//! are forwarded.
 
 use std::time::Duration;
 
@@ -9,27 +10,27 @@
 
 use crate::{Member, Proxy};
 
-/// How long this instance must have been without the leader. One that fails for everybody is seen to by
-/// all within half a second; then there is no way around.
+/// How long this instance must have been without the leader. A leader that fails for all instances
+/// is detected by all of them earlier, and then no alternate route exists.
 const LEADERLESS_AFTER: Duration = Duration::from_millis(600);
 
-/// How long it says that there is no room for this instance when a target refused it a connection:
-/// longer than the pause between two checks.
+/// How long a refused connection counts as a sign that a target has no connection left for this
+/// instance; longer than the interval between two checks.
 ///
-/// Such a target works, so that there is no need to wait for [`LEADERLESS_AFTER`]. After a power loss of all, targets keep the
-/// connections of the dead for seconds, and have no room for all of the living until then.
+/// Such a target works, so [`LEADERLESS_AFTER`] need not pass. After a power loss, targets keep the
+/// connections of dead instances for seconds and may have none left for all running ones.
 const CONNECTIONS_REFUSED_TTL: Duration = Duration::from_millis(500);
 
-/// One in this many of the instances that look at the group must see it led. The view of a single one may
-/// be from the moment before the leader failed.
+/// At least one in this many of the instances that monitor the group must see its leader. A single
+/// view may still be from before the leader failed.
 const MIN_SEEING_ONE_IN: usize = 4;
 
-/// Instances that are tried in offset.
+/// Maximum number of instances that are tried in turn.
 const MAX_CANDIDATES: usize = 3;
 
 impl Proxy {
-    /// Instances through which callers of `group` are better served now, best first; `None` if this one
-    /// reaches the leader, or nobody does.
+    /// Instances through which callers of `group` are better served now, best first; `None` if this
+    /// instance reaches the leader or too few others see one.
     pub(crate) fn forwarding_candidates(&self, group: &GroupName) -> Option<Vec<Member>> {
         let known = self.group(group)?;
         let leaderless_since = known.leader_lacking_since()?;
@@ -44,7 +45,7 @@
         if MIN_SEEING_ONE_IN * candidates.len() < self.peers.views.counted_for(group, now) {
             return None;
         }
-        // Each session takes its own offset, so that they share the work.
+        // Spreads sessions over the candidates.
         let offset = self.borders.entropy.next_u64() as usize % candidates.len();
         candidates.rotate_left(offset);
         candidates.sort_by_key(|it| it.data_centre != self.own.data_centre);
@@ -52,8 +53,8 @@
         Some(candidates)
     }
 
-    /// Keeps in mind since when groups are without a leader here, and has sessions look where to go when
-    /// a way around one appears or ends.
+    /// Updates since when groups lack a leader here, and notifies sessions when an alternate route
+    /// appears or ends. `routed` holds the groups that have one.
     pub(crate) fn refresh_alternate_routes(&self, routed: &mut Vec<GroupName>) {
         let now = self.borders.clock.now();
         let groups = self.groups();
@@ -65,10 +66,10 @@
             return;
         }
         for group in found.iter().filter(|it| !routed.contains(it)) {
-            log::warn!(group = group.as_str(); "G0754 a leader is out of this instance's reach; sessions go through others");
+            log::warn!(group = group.as_str(); "G0754 a leader is unreachable; sessions are forwarded to other instances");
         }
         for group in routed.iter().filter(|it| !found.contains(it)) {
-            log::info!(group = group.as_str(); "G0755 sessions of a group are served here again");
+            log::info!(group = group.as_str(); "G0755 sessions of a group are no longer forwarded");
         }
         *routed = found;
         self.shutdown.notify();
--- a/crates/gullspar_direct/src/fleet/discovery.rs
+++ b/crates/gullspar_direct/src/fleet/discovery.rs
@@ -1,9 +1,9 @@
-//! Learning at the start how many instances there are.
+//! Discovery of the other instances at startup.
 //!
-//! How many connections an instance may open, and whether it opens any, follows from the number of
-//! instances. One that has just started has heard nobody and would take itself for the only one. After
-//! a power loss of all, each would open connections to all targets and send them as much as if it were alone; targets
-//! would reset most connections and turn away half of the statements, and hardly a caller would be served in time.
+//! The number of instances determines whether an instance opens connections to targets, and how
+//! many. An instance that has just started knows no others and would act as if it were alone. If
+//! all instances did so after a power loss, they would overload the targets with connections and
+//! statements.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,23 +14,23 @@
 
 use crate::{Member, Proxy};
 
-/// How long a start waits for the registry, which answers in 4 ms. By then heartbeats have told of some
-/// instances where it does not answer.
+/// How long startup waits for the registry. If the registry does not answer, heartbeats have
+/// reported some of the instances by then.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long entries of the registry count as instances at work before they are heard.
+/// How long registered instances count as members before anything is received from them.
 ///
-/// Whoever lives is known to all within a second, however many there are; some of those that start together take
-/// longer to start.
+/// This covers instances that start at the same time but take longer. Those that run are known to
+/// all others within a second.
 const EXPECTED_TTL: Duration = Duration::from_secs(3);
 
-/// How long an instance hears nobody before it looks others up.
+/// How long an instance without peers waits before it queries the registry again.
 const NO_PEERS_AFTER: Duration = Duration::from_millis(1500);
 
-/// Time between the entries of two instances that enter again at the same time.
+/// Average time between the writes of two instances that register again at the same time.
 const REGISTRATION_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Whether this instance knows how many others to expect.
+/// Whether startup discovery has finished.
 #[derive(Default)]
 pub(crate) struct Discovery {
     done: Cell<bool>,
@@ -42,7 +42,7 @@
         self.done.get()
     }
 
-    /// Waits until it is taken.
+    /// Waits until discovery has finished.
     pub(crate) async fn wait(&self) {
         let changed = self.changed.listen();
         if !self.done.get() {
@@ -57,13 +57,14 @@
 }
 
 impl Proxy {
-    /// Looks up who is there, enters this instance, and looks again while it hears nobody.
+    /// Queries the registry, registers this instance, and queries again while no other instance is
+    /// known.
     pub(crate) async fn discover_instances(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let deadline = clock.now() + DISCOVERY_TIMEOUT;
         let found = within(&*clock, deadline, self.query_registry()).await.ok().flatten();
         let is_registered = found.as_ref().is_some_and(|it| it.contains(&self.own.member()));
-        // The era of the store in which this instance was registered_era.
+        // The store's era in which this instance was registered.
         let mut registered_era = is_registered.then(|| self.store_era());
         self.expect_members(found.unwrap_or_default());
         self.discovery.finish();
@@ -71,7 +72,7 @@
         loop {
             let era = self.store_era();
             if registered_era.is_some_and(|it| it < era) {
-                // The older copy may lack this instance. Not all write at once.
+                // The older copy of the store may lack this instance. Writes are spread over time.
                 let max_delay = REGISTRATION_INTERVAL * self.members().len() as u32;
                 clock.sleep_until(clock.now() + jittered(&*self.borders.entropy, max_delay)).await;
                 registered_era = None;
@@ -81,20 +82,22 @@
             }
             clock.sleep_until(clock.now() + NO_PEERS_AFTER).await;
             if self.members().len() == 1 {
-                // Heartbeats go out to whomever it brings.
+                // The addresses found are probed with heartbeats.
                 let _ = self.query_registry().await;
             }
         }
     }
 
-    /// Takes everybody who is registered for an instance at work, once: entries of those that are gone
-    /// are not removed, and an instance that is left alone has to serve.
+    /// Counts all registered instances as members for a limited time. This happens only once, since
+    /// entries of stopped instances stay in the registry and an isolated instance must be able to
+    /// serve alone.
     fn expect_members(&self, mut entries: Vec<Member>) {
         entries.retain(|it| it.id != self.own.id);
         self.peers.set_expected_members(entries, self.borders.clock.boot_now().plus(EXPECTED_TTL));
     }
 
-    /// Reads the registry and sends heartbeats to whoever stands there; `None` if it can't be read.
+    /// Reads the registry and adds its addresses to those that are probed; `None` if it can't be
+    /// read.
     async fn query_registry(&self) -> Option<Vec<Member>> {
         match self.borders.registry.entries().await {
             Ok(entries) => {
@@ -102,13 +105,13 @@
                 Some(entries)
             }
             Err(err) => {
-                log::info!(reason = err.to_string().as_str(); "G0752 other instances could not be looked up");
+                log::info!(reason = err.to_string().as_str(); "G0752 the registry could not be read");
                 None
             }
         }
     }
 
-    /// The newest era of the store, as this instance or those that hand it lists of targets know.
+    /// The newest era of the store that is known from the registry or from lists of targets.
     fn store_era(&self) -> u64 {
         self.borders.registry.era().max(self.directory.target_revision().era)
     }
@@ -117,7 +120,7 @@
         match self.borders.registry.register(&self.own.member()).await {
             Ok(()) => true,
             Err(err) => {
-                log::info!(reason = err.to_string().as_str(); "G0751 this instance could not be registered");
+                log::info!(reason = err.to_string().as_str(); "G0751 registering this instance failed");
                 false
             }
         }
--- a/crates/gullspar_direct/src/fleet/heartbeat.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other several times a second.
+//! The heartbeat that instances exchange several times a second.
 
 use std::net::SocketAddr;
 
@@ -8,54 +8,56 @@
 use crate::ClaimNote;
 
 record! {
-    /// How an instance sees the leader of a group.
+    /// The state of a group's leader as an instance sees it.
     #[derive(Copy)]
     pub enum LeaderHealth {
-        /// It answered lately as the leader.
+        /// It answered recently as the leader.
         Leads,
         /// It does not answer.
         Unresponsive,
-        /// Members answer, and none of them leads.
+        /// Members answer, but none of them is the leader.
         NoLeader,
-        /// Not looked for long enough to say.
+        /// The instance has not polled the group for long enough to say.
         Unsure,
     }
 }
 
 record! {
-    /// One group as an instance sees it.
+    /// The state of one group as an instance sees it.
     pub struct GroupView {
         pub group: GroupName,
         pub leader: Option<MemberName>,
         pub health: LeaderHealth,
-        /// The newest claim that the sender knows.
+        /// The newest claim known to the sender.
         pub claim: Option<ClaimNote>,
     }
 }
 
 impl GroupView {
-    /// Whether this tells more than that time has passed.
+    /// Whether anything but the age of the claim has changed since `old`.
     pub(crate) fn is_changed_from(&self, old: &GroupView) -> bool {
         let claim = |it: &GroupView| it.claim.as_ref().map(|it| (it.token, it.holder.clone()));
         let age_ms = |it: &GroupView| it.claim.as_ref().map_or(u64::MAX, |it| it.age_ms);
         (&self.leader, self.health) != (&old.leader, old.health)
             || claim(self) != claim(old)
-            // Its holder has acted again.
+            // A younger claim means that its holder has acted again.
             || age_ms(self) < age_ms(old)
     }
 }
 
 record! {
-    /// One instance's news; it fits a datagram, and each replaces the one before.
+    /// The state of one instance. It fits a datagram and replaces the sender's previous heartbeat.
     pub struct Heartbeat {
         pub gossip: Gossip,
         pub catalogue_version: u64,
         pub target_revision: Revision,
-        /// How long ago the sender knew of an instance that reaches the platform's store, itself included.
+        /// Age of the newest known contact of any instance with the platform's store, the sender
+        /// included.
         pub store_age_ms: Option<u32>,
-        /// How long ago the sender knew of a home in its data centre that reaches its leaders, itself included.
+        /// Age of the newest report that a home in the sender's data centre reaches its leaders,
+        /// the sender included.
         pub home_age_ms: Option<u32>,
-        /// The groups that the sender and the receiver look at.
+        /// The groups that both the sender and the receiver monitor.
         pub views: Vec<GroupView>,
     }
 }
@@ -78,7 +80,7 @@
         self.gossip.from.leaving
     }
 
-    /// What the sender says of `group`; `None` if it does not look at it.
+    /// The sender's view of `group`; `None` if it does not monitor the group.
     pub(crate) fn view(&self, group: &GroupName) -> Option<&GroupView> {
         self.views.iter().find(|it| it.group == *group)
     }
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Telling other instances what this one knows, and taking what they tell.
+//! Sends heartbeats to other instances and processes theirs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 use crate::proxy::SETTLE;
 use crate::{GroupView, Heartbeat, Members, PeerMessage, Phase, Proxy, Snapshot, SnapshotRequest};
 
-/// How long handing over a snapshot may take.
+/// How long fetching a snapshot from another instance may take.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What was last_sent last.
+/// State as of the last heartbeats.
 #[derive(Default)]
 struct LastSent {
-    /// When all are last_sent again.
+    /// When the next full round is due.
     next_round: Option<Instant>,
     views: BTreeMap<GroupName, GroupView>,
     catalogue_version: u64,
@@ -32,34 +32,36 @@
         loop {
             let updates = self.peers.listen();
             let directory_changed = self.directory.listen();
-            let sent = clock.now();
-            let is_due = last_sent.next_round.is_none_or(|it| sent >= it);
+            let sent_at = clock.now();
+            let is_due = last_sent.next_round.is_none_or(|it| sent_at >= it);
             self.send_round(&mut last_sent, is_due);
             if is_due {
-                last_sent.next_round = Some(sent + HEARTBEAT_INTERVAL);
+                last_sent.next_round = Some(sent_at + HEARTBEAT_INTERVAL);
             }
-            let next_round = last_sent.next_round.unwrap_or(sent);
-            // What is passed on is passed on twice, so that one lost datagram matters to nobody.
+            let next_round = last_sent.next_round.unwrap_or(sent_at);
+            // Each update is sent in two rounds, so that a single lost datagram does no harm.
             if !self.peers.has_updates() {
                 let groups = self.groups();
                 let changed = futures::future::select_all(
                     groups.iter().map(|it| it.listen()).chain([directory_changed, updates]),
                 );
-                // A leader that fell silent is news: a promotion waits for the views of most instances.
+                // A leader that falls silent ends the wait: a promotion needs the views of most
+                // instances.
                 let _ = within(&*clock, next_round, changed).await;
             }
             if self.directory.version() != last_sent.catalogue_version {
                 last_sent.next_round = None;
             }
-            clock.sleep_until(sent + MIN_HEARTBEAT_INTERVAL).await;
+            clock.sleep_until(sent_at + MIN_HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// Sends heartbeats: in a round that is due to all contacts and to all that look at the same groups, otherwise to
-    /// contacts if there is news to pass on, and of the others to those that look at a group that has changed.
+    /// Sends heartbeats. A round that is due goes to all contacts and group peers. Other rounds go
+    /// to contacts if there are membership updates, and to the group peers of groups whose view has
+    /// changed.
     ///
-    /// Of many groups there is always one that changes. LastSent to everybody each time, changes would take more of the links
-    /// than callers do.
+    /// With many groups, some view changes all the time; sending each change to everyone would cost
+    /// more bandwidth than the callers' traffic.
     fn send_round(&self, last_sent: &mut LastSent, is_due: bool) {
         let now = self.borders.clock.boot_now();
         self.peers.set_leaving(self.shutdown.phase() != Phase::Serving);
@@ -86,20 +88,20 @@
         last_sent.views = views.into_iter().map(|it| (it.group.clone(), it)).collect();
     }
 
-    /// Addresses of the homes of the groups that this instance looks at, and of whoever else said that it does, with the
-    /// groups in shared.
+    /// Instances that monitor the same groups, with the shared groups: the groups' homes and the
+    /// instances that sent views of them.
     ///
-    /// They decide on promotions together, and need each other's views at once.
+    /// They decide on promotions together and need each other's views without delay.
     fn find_group_peers(&self) -> BTreeMap<SocketAddr, BTreeSet<GroupName>> {
         let now = self.borders.clock.boot_now();
-        let mut looking: BTreeMap<SocketAddr, BTreeSet<GroupName>> = BTreeMap::new();
+        let mut group_peers: BTreeMap<SocketAddr, BTreeSet<GroupName>> = BTreeMap::new();
         for group in self.groups() {
             let addresses = self.peers.views.monitoring_addresses(&group.name, now);
             for address in addresses.into_iter().chain(self.home_addresses(&group.name)) {
-                looking.entry(address).or_default().insert(group.name.clone());
+                group_peers.entry(address).or_default().insert(group.name.clone());
             }
         }
-        looking
+        group_peers
     }
 
     fn views(&self, boot_now: BootInstant) -> Vec<GroupView> {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Takes a message of another instance.
+    /// Processes a message from another instance.
     pub fn handle_message(&self, message: PeerMessage) {
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.handle_heartbeat(heartbeat),
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Takes a heartbeat of another instance.
+    /// Processes a heartbeat from another instance.
     pub fn handle_heartbeat(&self, heartbeat: Heartbeat) {
         if *heartbeat.from() == self.own.id {
             return;
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Notices who has fallen silent, and what this instance can tell of itself.
+    /// Records which contacts this instance itself has and checks the other instances for silence.
     pub(crate) fn check_peers(&self) {
         let now = self.borders.clock.boot_now();
         if self.reaches_store() {
@@ -165,22 +167,22 @@
             self.peers.record_home_contact(now);
         }
         for id in self.peers.check(now) {
-            log::info!(instance = id.as_str(); "G0763 an instance is dead");
+            log::info!(instance = id.as_str(); "G0763 an instance was declared dead");
         }
     }
 
-    /// Takes what other instances have newer.
+    /// Fetches newer configuration and lists of targets from other instances.
     ///
-    /// An instance that the store turns away, or that is cut off from it, would go on by an old
-    /// configuration that everybody else has left.
+    /// Without this, an instance that can't use the store would keep serving by an outdated
+    /// configuration.
     pub(crate) async fn sync_from_peers(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut source = NewsSource::starting_with(self.borders.entropy.next_u64());
         loop {
             let revision = (!self.goes_by_store()).then(|| self.directory.target_revision());
-            let ahead =
+            let candidates =
                 self.peers.peers_with_updates(self.directory.version(), revision, clock.boot_now());
-            if let Some(from) = source.pick(&ahead, &self.own.data_centre) {
+            if let Some(from) = source.pick(&candidates, &self.own.data_centre) {
                 let req = SnapshotRequest {
                     catalogue_version: self.directory.version(),
                     target_revision: self.directory.target_revision(),
@@ -193,7 +195,7 @@
                     }
                     Err(PeerError::NoAnswer(reason)) => {
                         source.failed();
-                        log::info!(from = from.to_string().as_str(), reason = reason.as_str(); "G0714 an instance did not hand over its configuration");
+                        log::info!(from = from.to_string().as_str(), reason = reason.as_str(); "G0714 fetching the configuration from an instance failed");
                     }
                 }
             }
@@ -205,7 +207,7 @@
         if let Some(catalogue) = snapshot.catalogue {
             let version = catalogue.version;
             if self.directory.apply_catalogue(catalogue) {
-                log::info!(version = version, from = from.to_string().as_str(); "G0760 a configuration came from an instance");
+                log::info!(version = version, from = from.to_string().as_str(); "G0760 received a configuration from an instance");
             }
         }
         if let Some(targets) = snapshot.targets
@@ -215,7 +217,8 @@
         }
     }
 
-    /// What another instance lacks.
+    /// The configuration and the list of targets, as far as they are newer than those of the
+    /// requesting instance.
     pub fn snapshot(&self, req: SnapshotRequest) -> Snapshot {
         let catalogue = self.directory.catalogue().filter(|it| it.version > req.catalogue_version);
         let list = self.directory.target_list();
@@ -225,7 +228,7 @@
         }
     }
 
-    /// All instances that take work, this one included.
+    /// The instances that take work, this one included.
     pub(crate) fn members(&self) -> Rc<Members> {
         self.peers.members(self.borders.clock.boot_now())
     }
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -1,4 +1,4 @@
-//! The groups that this instance serves, their targets and its share of them.
+//! The groups that this instance serves, with their targets and its share of the targets' capacity.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -19,20 +19,21 @@
 use crate::targets::target_watch;
 use crate::{CutOff, Member, Phase, Proxy};
 
-/// How long a group is served for a session that was handed on to an instance that is not its home.
+/// How long an instance that is not a home serves a group after a session was forwarded to it.
 const HOLD_PERIOD: Duration = Duration::from_secs(10);
 
-/// How long a home that could not be reached comes after its stand-ins. Each session that is opened at one that is
-/// dark waits in vain, and heartbeats show a second later that it is gone.
+/// How long a home that could not be reached is ranked after the spare homes. Until heartbeats show
+/// that it is gone, each session opened through it would wait for a timeout.
 const HOME_AVOIDANCE_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long a group that other instances are homes of now is kept for the sessions that are open.
+/// How long an instance that is no longer a home keeps the group for open sessions.
 const GIVE_UP_AFTER: Duration = Duration::from_secs(4);
 
 impl Proxy {
-    /// Brings groups, targets and their capacities in line with the directory and the other instances.
+    /// Brings groups, targets and their capacities in line with the directory and the current
+    /// members.
     pub(crate) fn maintain_groups(&self) {
-        // Without both of them every instance would take itself for a home of all groups.
+        // Without both, every instance would consider itself a home of all groups.
         if !self.discovery.is_done() || self.directory.catalogue().is_none() {
             return;
         }
@@ -48,8 +49,8 @@
             }
         }
         for spec in targets {
-            // Entries come from other writers too; one of a group that the configuration does not name is of
-            // no target to connect to.
+            // The directory may list targets of groups that the configuration does not name; these
+            // are not connected to.
             let Some(allowance) = self.allowance(&spec.group) else { continue };
             if self.is_home(&spec.group, allowance) {
                 let homes = self.homes_of(&spec.group, allowance);
@@ -59,8 +60,9 @@
         }
         self.give_up_groups(now);
         for group in self.groups() {
-            let stays = self.shutdown.phase() == Phase::Serving && group.given_up_at().is_none();
-            group.targets().iter().for_each(|it| it.pool.set_stays(stays));
+            let should_keep_connections =
+                self.shutdown.phase() == Phase::Serving && group.given_up_at().is_none();
+            group.targets().iter().for_each(|it| it.pool.set_stays(should_keep_connections));
         }
         if let Some(catalogue) = self.directory.catalogue() {
             let mut plans = self.home_plans.borrow_mut();
@@ -76,7 +78,7 @@
     ) {
         let group = self.group_or_new(&spec.group);
         if group.target(&spec.member).is_some_and(|it| it.spec().is_started_anew(&spec)) {
-            log::info!(member = spec.member.as_str(), group = spec.group.as_str(); "G0758 a target has started anew");
+            log::info!(member = spec.member.as_str(), group = spec.group.as_str(); "G0758 a target has restarted");
             group.remove(&spec.member);
             group.does_not_lead(&spec.member, self.borders.clock.now());
         }
@@ -104,16 +106,16 @@
         target
     }
 
-    /// When a target that is learnt now to leave gets no new work any more; `None` for one that stays.
+    /// When a target that is leaving stops getting new work; `None` for a target that stays.
     fn work_ends_at(&self, spec: &TargetSpec) -> Option<BootInstant> {
         let ends_at = self.borders.clock.boot_now().plus(self.own.leaving_serves);
         spec.leaving.then_some(ends_at)
     }
 
-    /// Serves `group` here for a while, whoever its homes are.
+    /// Serves `group` here for [`HOLD_PERIOD`], whichever instances are its homes.
     ///
-    /// Instances learn of each other at different moments. One that takes this instance for a home hands
-    /// on a session before this one knows that it is; refused, its callers would find no one.
+    /// Instances learn of membership changes at different times. Another instance may consider this
+    /// one a home and forward sessions before this one knows that it is a home.
     pub(crate) fn hold_group(&self, group: &GroupName) {
         let until = self.borders.clock.now() + HOLD_PERIOD;
         self.held.borrow_mut().insert(group.clone(), until);
@@ -127,7 +129,8 @@
         self.held.borrow().get(group).is_some_and(|until| now < *until)
     }
 
-    /// What each target of `group` allows; `None` if the configuration does not name the group.
+    /// The connections and slots of each target of `group`; `None` if the configuration does not
+    /// name the group.
     pub(crate) fn allowance(&self, group: &GroupName) -> Option<Allowance> {
         let limits = self.directory.catalogue()?.groups.get(group).copied()?;
         let slots = self.directory.slots(group);
@@ -142,7 +145,8 @@
         homes.is_none_or(|it| it.ranked.iter().take(it.count).any(|it| it.id == self.own.id))
     }
 
-    /// The instances to hand a session of `group` on to, best first; `None` if it is served here.
+    /// The instances to forward a session of `group` to, best first; `None` if this instance serves
+    /// it.
     pub(crate) fn other_homes(&self, group: &GroupName) -> Option<Vec<Member>> {
         let allowance = self.allowance(group)?;
         let homes = self.homes_of(group, allowance)?;
@@ -150,7 +154,7 @@
         if ranked.iter().take(count).any(|it| it.id == self.own.id) {
             return None;
         }
-        // Each session takes its own offset, so that the homes share the work.
+        // Spreads sessions over the homes.
         let offset = self.borders.entropy.next_u64() as usize % count.max(1);
         ranked[..count].rotate_left(offset);
         let now = self.borders.clock.now();
@@ -165,7 +169,7 @@
         Some(ranked)
     }
 
-    /// A home could not be reached, or broke sessions off; others come first for a while.
+    /// Ranks a home last for a while, after it could not be reached or broke off sessions.
     pub(crate) fn avoid_home(&self, id: &InstanceId) {
         let now = self.borders.clock.now();
         let mut avoided = self.avoided_homes.borrow_mut();
@@ -173,20 +177,21 @@
         avoided.insert(id.clone(), now + HOME_AVOIDANCE_PERIOD);
     }
 
-    /// Whether this instance is no longer a home of `group` and keeps it only for sessions that are open.
+    /// Whether this instance is no longer a home of `group` and keeps it only for open sessions.
     pub(crate) fn is_giving_up(&self, group: &GroupName) -> bool {
         self.group(group).is_some_and(|it| it.given_up_at().is_some())
     }
 
-    /// Gives up groups that other instances are homes of now, once their sessions had time to leave.
+    /// Removes groups of which this instance is no longer a home, after their sessions had
+    /// [`GIVE_UP_AFTER`] to end.
     pub(crate) fn give_up_groups(&self, now: Instant) {
         for group in self.groups() {
             let allowance = self.allowance(&group.name);
-            let home = allowance.is_some_and(|it| self.is_home(&group.name, it));
-            match (home, group.given_up_at()) {
+            let is_home = allowance.is_some_and(|it| self.is_home(&group.name, it));
+            match (is_home, group.given_up_at()) {
                 (true, _) => group.set_given_up_at(None),
                 (false, None) => {
-                    log::info!(group = group.name.as_str(); "G0750 other instances are the homes of a group now");
+                    log::info!(group = group.name.as_str(); "G0750 this instance is no longer a home of a group");
                     group.set_given_up_at(Some(now + GIVE_UP_AFTER));
                     self.shutdown.notify();
                 }
@@ -218,6 +223,7 @@
         group
     }
 
+    /// The current values of the gauges.
     pub(crate) fn levels(&self) -> Levels {
         let groups = self.groups();
         let leaderless = groups.len() - self.led_group_count();
--- a/crates/gullspar_direct/src/fleet/home_plan.rs
+++ b/crates/gullspar_direct/src/fleet/home_plan.rs
@@ -1,4 +1,4 @@
-//! The homes of a group, worked out once for each change of the members.
+//! Cache of the homes of each group.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,21 +9,21 @@
 use crate::fleet::homes::{self, Allowance, Homes};
 use crate::fleet::peer_table::Epoch;
 
-/// The homes of one group and what they follow from.
+/// The homes of one group, with the inputs they were computed from.
 ///
-/// Ranking hundreds of instances for each target at each look, and for each session, would use_plan a small machine a good
-/// part of its processor.
+/// Cached, since ranking hundreds of instances for each target and each session would be expensive.
 pub(crate) struct HomePlan {
     epoch: Epoch,
     allowance: Allowance,
-    /// `None` if every instance connects itself.
+    /// `None` if every instance opens its own connections.
     homes: Option<Rc<Homes>>,
-    /// Addresses of the homes in all data centres; worked out where this instance looks at the group.
+    /// Addresses of the homes in all data centres; computed on first use, by instances that monitor
+    /// the group.
     all_data_centres: Option<Vec<SocketAddr>>,
 }
 
 impl Proxy {
-    /// The homes of `group`; `None` if every instance connects itself.
+    /// The homes of `group`; `None` if every instance opens its own connections.
     pub(crate) fn homes_of(&self, group: &GroupName, allowance: Allowance) -> Option<Rc<Homes>> {
         self.with_plan(group, allowance, |plan| plan.homes.clone())
     }
--- a/crates/gullspar_direct/src/fleet/homes.rs
+++ b/crates/gullspar_direct/src/fleet/homes.rs
@@ -1,37 +1,38 @@
-//! Which instances hold connections to a group's targets.
+//! Selects the instances that hold connections to a group's targets: the group's homes.
 //!
-//! A few instances can per_data_centre hold their share of a target's connections. When a share would be less than two,
-//! only some of them do, the group's homes, and the others hand sessions on to them.
+//! In a small fleet every instance opens connections itself. When an instance's share of a target's
+//! connections would be less than two, only the homes connect, and the other instances forward
+//! sessions to them.
 
 use gullspar_model::{DataCentre, GroupName, InstanceId};
 
 use crate::targets::admission_limit;
 use crate::{Member, Members};
 
-/// The least share of connections with which every instance connects itself: one for statements and one for
-/// a transaction beside it.
+/// The smallest share of connections with which every instance connects itself: one for statements
+/// and one for a transaction.
 const MIN_SHARE: usize = 2;
 
-/// Instances that stand in for homes that can't be reached, in the order of preference.
+/// Instances ranked after the homes that replace homes that can't be reached.
 const SPARE_HOMES: usize = 2;
 
-/// The fewest connections to a target that a home should hold.
+/// Minimum number of connections to a target that a home should hold.
 const MIN_CONNECTIONS_PER_HOME: usize = 5;
 
-/// What per_data_centre target of a group allows.
+/// The limits of each target of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Allowance {
     /// Connections from all instances together.
     pub(crate) connections: u32,
-    /// Statements that it runs at once.
+    /// Statements that a target runs at the same time.
     pub(crate) slots: u32,
 }
 
-/// How many homes a group has in per_data_centre data centre; `None` if every instance connects itself.
+/// Number of homes of a group in each data centre; `None` if every instance connects itself.
 ///
-/// No more than can per_data_centre run a statement: all of them together may use one and a half times the slots.
-/// More of them would send more at once, which would wait in the target's own queue, where neither priority nor deadline
-/// counts, and overflow it.
+/// There are no more homes than can each run a statement: together, they may use one and a half
+/// times the slots. More homes would fill the target's own queue, which knows neither priorities
+/// nor deadlines.
 fn homes_per_data_centre(
     allowance: Allowance,
     members: usize,
@@ -51,15 +52,15 @@
 /// The homes of one group, as seen from one data centre.
 #[derive(Clone, Debug)]
 pub(crate) struct Homes {
-    /// The homes of this data centre, and after them who stands in for one that can't be reached, best first.
+    /// The homes in this data centre, best first, followed by spare homes.
     pub(crate) ranked: Vec<Member>,
     /// How many of `ranked` are homes.
     pub(crate) count: usize,
-    /// How many instances hold connections to per_data_centre of the group's targets.
+    /// Number of instances that hold connections to each of the group's targets.
     pub(crate) holders: usize,
 }
 
-/// The homes of `group` for `own`; `None` if every instance connects itself.
+/// The homes of `group` for instances in `own`; `None` if every instance connects itself.
 pub(crate) fn homes(
     group: &GroupName,
     allowance: Allowance,
@@ -80,7 +81,7 @@
     Some(Homes { ranked, count, holders })
 }
 
-/// The homes of `group` in all data centres; none if every instance connects itself.
+/// The homes of `group` in all data centres; all members if every instance connects itself.
 pub(crate) fn all_data_centres<'a>(
     group: &GroupName,
     allowance: Allowance,
@@ -105,18 +106,19 @@
     ranked
 }
 
-/// Rendezvous hashing weighted by the square of the processor: the nearest is the home.
+/// Distance of an instance from a group by rendezvous hashing, weighted by the square of its
+/// processor strength.
 ///
-/// A home serves the sessions of a whole data centre for its group. Where machines differ, it should be one
-/// of the strong, but not of all groups the same one.
+/// The nearest instances become homes. A home serves the group's sessions of a whole data centre,
+/// so strong machines are preferred, while the hash spreads the groups among them.
 fn distance(group: &GroupName, member: &Member) -> u64 {
     let uniform = (weight(group.as_str(), &member.id) as f64 + 1.0) / (u64::MAX as f64 + 1.0);
     let strength = f64::from(member.strength.max(1));
-    // Positive numbers compare like their bits.
+    // The bits of positive floats have the same order as their values.
     (-uniform.ln() / (strength * strength)).to_bits()
 }
 
-/// The weight that rendezvous hashing gives the instance `id` for what is called `name`.
+/// Rendezvous hash of instance `id` for the key `name`.
 pub(crate) fn weight(name: &str, id: &InstanceId) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(name.as_bytes());
     xxhash_rust::xxh3::xxh3_64_with_seed(id.as_str().as_bytes(), seed)
--- a/crates/gullspar_direct/src/fleet/limits.rs
+++ b/crates/gullspar_direct/src/fleet/limits.rs
@@ -1,7 +1,8 @@
-//! Keeping customers to their limits over all instances together.
+//! Enforces customers' limits across all instances.
 //!
-//! One instance keeps a customer's quota, chosen by rendezvous hashing, and grants tokens to those that serve the
-//! customer's sessions. What happens while it is out of reach stands in `docs/design/customers.md`.
+//! One instance, chosen by rendezvous hashing, owns a customer's quota and grants tokens to the
+//! instances that serve the customer's sessions. See `docs/design/customers.md` for what happens
+//! while the owner is unreachable.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,49 +21,50 @@
 use crate::fleet::peer_table::Epoch;
 use crate::{PeerMessage, Phase, Proxy};
 
-/// How long the owner of a quota may take to answer before it is asked again.
+/// How long a quota's owner may take to answer before it is asked again.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Questions without an answer after which operations go on without the owner.
+/// Number of unanswered requests after which operations run in the grace period.
 const MAX_UNANSWERED: u32 = 2;
 
-/// One customer as this instance serves it.
+/// A customer's tokens at this instance.
 struct Account {
     leased: RefCell<LeasedTokens>,
-    /// Operations that wait for tokens.
+    /// Number of operations that wait for tokens.
     waiting: Cell<u32>,
     requested_at: Cell<Option<BootInstant>>,
-    /// Its owner does not answer, or grants nothing yet; operations don't wait for it.
+    /// The owner does not answer or does not grant tokens yet; operations don't wait for it.
     is_unfunded: Cell<bool>,
     owner: RefCell<Option<(Epoch, SocketAddr)>>,
     answered: Event,
 }
 
-/// What decides who keeps which quota.
+/// The inputs that determine which instance owns which quota.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct OwnershipBasis {
     members: Epoch,
-    /// This instance takes part no more.
+    /// This instance is shutting down and owns no quotas any more.
     is_leaving: bool,
 }
 
-/// The limits that this instance keeps, and those that it is kept to.
+/// The quotas that this instance owns, and the accounts of the customers that it serves.
 #[derive(Default)]
 pub(crate) struct Limits {
     quotas: RefCell<OwnedQuotas>,
     accounts: RefCell<BTreeMap<CustomerName, Rc<Account>>>,
-    /// Among whom the quotas are kept, and since when.
+    /// The inputs of the current ownership, and since when it applies.
     ownership: Cell<Option<(OwnershipBasis, BootInstant)>>,
-    /// The part of the fleet that this instance grants for, in percent.
-    part_percent: Cell<u32>,
+    /// Percentage of the fleet that this instance grants tokens for.
+    granted_percent: Cell<u32>,
 }
 
 impl Proxy {
-    /// Spends one token of `customer` for an operation that is about to run.
+    /// Consumes one token of `customer` for an operation that is about to run.
     ///
     /// # Errors
     ///
-    /// Fails where the customer is at its limit; the operation must not run.
+    /// Returns [`NotRun::OverLimit`] if the customer is at its limit; the operation must not run
+    /// then.
     pub(crate) async fn consume_token(
         &self,
         customer: &CustomerName,
@@ -100,7 +102,7 @@
             account.waiting.set(account.waiting.get() + 1);
             self.request_tokens(customer, &account, now);
             let until = (self.borders.clock.now() + REQUEST_TIMEOUT).min(deadline);
-            // Its own quota has answered by now.
+            // If this instance is the owner, its grant has been applied already.
             if account.requested_at.get().is_some()
                 && within(&*self.borders.clock, until, answered).await.is_err()
             {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// A second try of an operation counts as well; it does not wait.
+    /// Consumes a token for a retry of an operation, without waiting for one.
     pub(crate) fn consume_retry_token(&self, customer: Option<&CustomerName>) {
         if let Some(account) =
             customer.and_then(|it| self.limits.accounts.borrow().get(it).cloned())
@@ -135,7 +137,7 @@
 
     fn over_limit(&self, customer: &CustomerName, retry_after: Duration) -> NotRun {
         let retry_after_ms = retry_after.as_millis() as u64;
-        log::info!(customer = customer.as_str(), retry_after_ms = retry_after_ms; "G0767 an operation is refused: its customer is at its limit");
+        log::info!(customer = customer.as_str(), retry_after_ms = retry_after_ms; "G0767 operation refused: the customer is at its limit");
         self.borders.stats.limited();
         NotRun::OverLimit { retry_after_ms }
     }
@@ -157,7 +159,7 @@
         account
     }
 
-    /// Asks the owner for tokens unless an answer is on its way.
+    /// Requests tokens from the owner unless a request is pending.
     fn request_tokens(&self, customer: &CustomerName, account: &Account, now: BootInstant) {
         let requested_at = account.requested_at.get();
         if requested_at.is_some_and(|at| now.since(at) < REQUEST_TIMEOUT) {
@@ -198,10 +200,10 @@
         }
     }
 
-    /// The instance that keeps the quota of `customer`, as far as this one knows.
+    /// The owner of the quota of `customer`, by this instance's list of members.
     fn quota_owner(&self, customer: &CustomerName) -> SocketAddr {
         let members = self.members();
-        // Others no longer count one that is_leaving.
+        // Other instances no longer count an instance that is leaving.
         let is_leaving = self.is_leaving();
         let nearest = members
             .iter()
@@ -214,20 +216,21 @@
         self.shutdown.phase() != Phase::Serving
     }
 
-    /// Grants to the instance that asks, or passes the question on to the owner.
+    /// Grants tokens to the requesting instance, or forwards the request to the quota's owner.
     pub(crate) fn answer_token_request(&self, req: &TokenRequest) {
         let owner = self.quota_owner(&req.customer);
         if owner == self.own.address {
             let grant = self.grant(req, self.borders.clock.boot_now());
             self.borders.peers.send(req.reply_to, &PeerMessage::TokenGrant(grant));
         } else if !req.is_passed_on {
-            // Instances learn of each other at different moments.
+            // Instances learn of membership changes at different times; a request is forwarded only
+            // once.
             let forwarded = TokenRequest { is_passed_on: true, ..req.clone() };
             self.borders.peers.send(owner, &PeerMessage::TokenRequest(forwarded));
         }
     }
 
-    /// Goes on with a quota that another instance kept before.
+    /// Takes over a quota from its previous owner.
     pub(crate) fn apply_quota_handover(&self, handover: &QuotaHandover) {
         let limit = self.directory.catalogue().and_then(|it| it.limit(&handover.customer));
         if let Some(limit) = limit {
@@ -240,15 +243,16 @@
         let since = self.hand_over_quotas(now);
         let limit = self.directory.catalogue().and_then(|it| it.limit(&req.customer));
         let Some(limit) = limit else {
-            // A newer configuration than that of the instance that asks, or an older one.
+            // The requesting instance uses another version of the configuration.
             let customer = req.customer.clone();
             return TokenGrant { customer, tokens: 0, next_token_ms: 0, is_settling: true };
         };
-        let part = f64::from(self.limits.part_percent.get()) / 100.0;
-        self.limits.quotas.borrow_mut().grant(req, limit, since, part, now)
+        let granted_fraction = f64::from(self.limits.granted_percent.get()) / 100.0;
+        self.limits.quotas.borrow_mut().grant(req, limit, since, granted_fraction, now)
     }
 
-    /// Hands over the quotas that other instances keep now; gives since when the members are what they are.
+    /// Hands over the quotas that other instances own now; returns since when the current ownership
+    /// applies.
     pub(crate) fn hand_over_quotas(&self, now: BootInstant) -> BootInstant {
         let basis =
             OwnershipBasis { members: self.peers.epoch(now), is_leaving: self.is_leaving() };
@@ -256,7 +260,7 @@
             Some((cached, since)) if cached == basis => since,
             _ => {
                 self.limits.ownership.set(Some((basis, now)));
-                self.limits.part_percent.set(self.peers.reachable_percent(now));
+                self.limits.granted_percent.set(self.peers.reachable_percent(now));
                 let mut quotas = self.limits.quotas.borrow_mut();
                 let closed = quotas.close(|it| self.quota_owner(it) == self.own.address);
                 for handover in closed {
@@ -268,7 +272,7 @@
         }
     }
 
-    /// Takes what a owner granted.
+    /// Adds the tokens that an owner granted.
     pub(crate) fn apply_grant(&self, grant: &TokenGrant) {
         let account = self.limits.accounts.borrow().get(&grant.customer).cloned();
         let Some(account) = account else { return };
@@ -279,11 +283,11 @@
         account.answered.notify(usize::MAX);
     }
 
-    /// Notices changes of the members, and forgets customers that nobody hears of any more.
+    /// Updates quota ownership and removes the accounts of idle customers.
     pub(crate) fn maintain_limits(&self) {
         let now = self.borders.clock.boot_now();
         self.hand_over_quotas(now);
-        self.limits.part_percent.set(self.peers.reachable_percent(now));
+        self.limits.granted_percent.set(self.peers.reachable_percent(now));
         let mut accounts = self.limits.accounts.borrow_mut();
         accounts.retain(|_, it| it.waiting.get() > 0 || !it.leased.borrow().is_idle(now));
     }
--- a/crates/gullspar_direct/src/fleet/members.rs
+++ b/crates/gullspar_direct/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! The instances that take work, worked out once for each change of them.
+//! The list of the instances that take work.
 
 use std::collections::BTreeMap;
 use std::ops::Deref;
@@ -6,7 +6,7 @@
 use gullspar_membership::{Member, by_data_centre};
 use gullspar_model::DataCentre;
 
-/// All of them, and those of each data centre.
+/// The instances that take work, also grouped by data centre.
 #[derive(Debug, Default)]
 pub struct Members {
     all: Vec<Member>,
@@ -14,21 +14,23 @@
 }
 
 impl Members {
-    /// The instances `all`.
+    /// Creates the list of the instances `all`.
     pub(crate) fn new(all: Vec<Member>) -> Members {
         let owned = |it: Vec<&Member>| it.into_iter().cloned().collect();
         let by_data_centre = by_data_centre(&all);
-        let by_data_centre =
-            by_data_centre.into_iter().map(|(place, it)| (place.clone(), owned(it))).collect();
+        let by_data_centre = by_data_centre
+            .into_iter()
+            .map(|(data_centre, it)| (data_centre.clone(), owned(it)))
+            .collect();
         Members { by_data_centre, all }
     }
 
-    /// Those in `data_centre`.
+    /// The instances in `data_centre`.
     pub(crate) fn near(&self, data_centre: &DataCentre) -> &[Member] {
         self.by_data_centre.get(data_centre).map_or(&[], Vec::as_slice)
     }
 
-    /// Those of each data centre.
+    /// The instances of each data centre.
     pub(crate) fn by_data_centre(&self) -> impl ExactSizeIterator<Item = &[Member]> {
         self.by_data_centre.values().map(Vec::as_slice)
     }
--- a/crates/gullspar_direct/src/fleet/mod.rs
+++ b/crates/gullspar_direct/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The instances together: who is there, what they tell each other, and which of them serves what.
+//! Cooperation between instances: membership, heartbeats, and which instance serves which group.
 
 pub(crate) mod alternate_route;
 pub(crate) mod discovery;
--- a/crates/gullspar_direct/src/fleet/partition.rs
+++ b/crates/gullspar_direct/src/fleet/partition.rs
@@ -1,4 +1,4 @@
-//! Judging whether callers are better served by other instances.
+//! Detection of network partitions that make other instances the better choice for callers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,13 +8,16 @@
 use crate::groups::group::Group;
 use crate::{CutOff, Phase, Proxy, ROTATION, Route};
 
-/// Between two looks at who has fallen silent and whether this instance is cut off.
+/// Time between two checks of the peers and of this instance's own connectivity.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Proxy {
-    /// Whether waiting for a leader of `group` that this instance can use is in vain: the others use it, or
-    /// this instance is cut off from them, or it leaves and nobody is about to take its place. Refused at once, a
-    /// caller's next try reaches another instance or comes when another one leads.
+    /// Whether an operation should be refused at once instead of waiting for a usable leader of
+    /// `group`.
+    ///
+    /// This is the case if other instances use the leader, if sessions can be forwarded to one that
+    /// does, if this instance is isolated, or if the leader is leaving and is not being replaced.
+    /// The caller can then retry, at another instance or once another leader is in place.
     pub(crate) fn should_fail_fast(&self, group: &Group) -> bool {
         if group.serving_leader().is_some() {
             return false;
@@ -31,11 +34,11 @@
             || self.forwarding_candidates(&group.name).is_some()
     }
 
-    /// Whether this instance is cut off from the other instances and from the leaders of half of the
-    /// groups or more, so that callers are better served elsewhere.
+    /// Whether this instance is isolated from the other instances and reaches the leaders of at most
+    /// half of its groups. Callers are then better served elsewhere.
     ///
-    /// One that is home of no group goes by the homes of its data centre, which it hands its callers on to: if none of
-    /// them reaches its leaders, it would only keep callers waiting to be refused.
+    /// An instance that is home of no group forwards its callers, so it relies on the homes in its
+    /// data centre: it is partitioned if none of them reaches its leaders.
     pub(crate) fn is_partitioned(&self) -> bool {
         let now = self.borders.clock.boot_now();
         if !self.peers.is_isolated(now) {
@@ -47,27 +50,28 @@
         }
     }
 
-    /// Whether this instance is home of some groups and reaches the leaders of more than half of them.
+    /// Whether this instance is home of some groups and reaches the leaders of more than half of
+    /// them.
     pub(crate) fn can_reach_leaders(&self) -> bool {
         2 * self.led_group_count() > self.groups().len()
     }
 
-    /// How many of its groups' leaders this instance reaches.
+    /// The number of groups whose leaders this instance reaches.
     pub(crate) fn led_group_count(&self) -> usize {
         self.groups().iter().filter(|it| it.working_leader().is_some()).count()
     }
 
-    /// Why no session with `route` is opened here now, if none is.
+    /// The reason why no session with `route` can be opened here now; `None` if it can be opened.
     ///
-    /// Opened all the same, it would be closed while its first request is on the way, and the caller would not know
-    /// whether that ran.
+    /// A session opened nevertheless would be closed while its first request is under way, and the
+    /// caller would not know whether the request ran.
     pub(crate) fn session_refusal(&self, route: &Route, is_forwarded: bool) -> Option<NotRun> {
         if self.shutdown.phase() >= Phase::ClosingIdle {
             return Some(NotRun::Leaving);
         }
         let should_refuse = match self.shutdown.cut_off() {
             CutOff::No => false,
-            // One that is home of nothing leaves it to homes, which hear of leaders until the last moment.
+            // Instances without the group forward to its homes, whose state of the leaders is newer.
             CutOff::Yes => match self.group(&route.group) {
                 Some(group) => !self.can_serve(&group, route),
                 None => is_forwarded,
@@ -77,24 +81,26 @@
         should_refuse.then_some(NotRun::Unreachable)
     }
 
-    /// Whether any statement with `route` can be served: its group is led, or replicas were heard of lately enough.
+    /// Whether any statement with `route` can be served: the group has a leader, or replicas are
+    /// fresh enough.
     fn can_serve(&self, group: &Group, route: &Route) -> bool {
         let now = self.borders.clock.boot_now();
-        let fresh = |max_age| group.reading_within(now, max_age).is_some();
-        group.working_leader().is_some() || route.freshness.max_age().is_some_and(fresh)
+        let is_fresh = |max_age| group.reading_within(now, max_age).is_some();
+        group.working_leader().is_some() || route.freshness.max_age().is_some_and(is_fresh)
     }
 
-    /// Whether this instance has been able to serve callers since its start.
+    /// Whether this instance has been able to serve callers since its start; it reports ready only
+    /// then.
     ///
-    /// Without a leader in reach nothing can be served, since how old the data of a replica is follows from what a
-    /// leader said. An instance that starts behind a cut would draw a share of its data centre's callers and
-    /// refuse them all; while it is not ready, they go to other data centres.
+    /// Without a reachable leader nothing can be served, since the age of a replica's data is
+    /// computed from the leader's position. A partitioned instance that started as ready would
+    /// attract callers of its data centre and refuse them.
     pub(crate) fn has_served(&self) -> bool {
         if self.useful.get() {
             return true;
         }
         let can_serve = match self.groups().len() {
-            // It hands all sessions on.
+            // An instance without groups forwards all sessions.
             0 => self.peers.running_count() > 0,
             count => 2 * self.led_group_count() >= count,
         };
@@ -102,18 +108,20 @@
         can_serve
     }
 
-    /// Notices who has fallen silent, and sends callers away while this instance is cut off, or around a leader that
-    /// only it can't reach.
+    /// Checks the other instances, redirects callers while this instance is partitioned, and
+    /// maintains alternate routes to leaders that only this instance can't reach.
     pub(crate) async fn monitor_connectivity(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut partitioned_since = None;
-        let mut forwarding_candidates = Vec::new();
+        let mut routed_groups = Vec::new();
         loop {
             self.check_peers();
-            self.refresh_alternate_routes(&mut forwarding_candidates);
+            self.refresh_alternate_routes(&mut routed_groups);
             if self.is_partitioned() {
                 let since = *partitioned_since.get_or_insert_with(|| {
-                    log::warn!("G0741 this instance is cut off; callers are sent elsewhere");
+                    log::warn!(
+                        "G0741 this instance is partitioned; callers are sent to other instances"
+                    );
                     clock.now()
                 });
                 let is_out_of_rotation = clock.now() >= since + ROTATION;
@@ -123,7 +131,7 @@
                     CutOff::Yes
                 });
             } else if partitioned_since.take().is_some() {
-                log::info!("G0742 this instance is no longer cut off");
+                log::info!("G0742 this instance is no longer partitioned");
                 self.shutdown.set_cut_off(CutOff::No);
             }
             clock.sleep_until(clock.now() + CHECK_INTERVAL).await;
--- a/crates/gullspar_direct/src/fleet/peer_message.rs
+++ b/crates/gullspar_direct/src/fleet/peer_message.rs
@@ -1,4 +1,4 @@
-//! What instances send each other without waiting for an answer.
+//! Messages that instances send each other without waiting for an answer.
 
 use gullspar_customer::{QuotaHandover, TokenGrant, TokenRequest};
 use gullspar_model::record;
@@ -6,7 +6,7 @@
 use crate::Heartbeat;
 
 record! {
-    /// One datagram.
+    /// The content of one datagram.
     pub enum PeerMessage {
         Heartbeat(Heartbeat),
         TokenRequest(TokenRequest),
--- a/crates/gullspar_direct/src/fleet/peer_table.rs
+++ b/crates/gullspar_direct/src/fleet/peer_table.rs
@@ -1,4 +1,4 @@
-//! The other instances, as far as they were heard.
+//! State of the other instances, as received from them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,54 +15,56 @@
 use crate::fleet::views::Views;
 use crate::{Heartbeat, Members};
 
-/// How long word of an instance that reaches the platform's store holds; it is passed on from contact to contact, and
-/// takes a heartbeat for each step.
+/// How long a report counts that some instance reaches the platform's store. Contacts forward it
+/// one heartbeat at a time.
 const STORE_CONTACT_TTL: Duration = Duration::from_secs(2);
 
-/// How long word of a home that reaches its leaders holds: a few steps through a data centre.
+/// How long a report counts that a home in this data centre reaches its leaders. It takes a few
+/// heartbeats to spread.
 const HOME_CONTACT_TTL: Duration = Duration::from_millis(700);
 
-/// How long an instance that no longer looks at a group goes on telling those that do; they would count its last view
-/// for as long as the dead count.
+/// How long an instance that no longer monitors a group still sends heartbeats to those that do.
+/// Without them, they would count its last view for as long as they count dead instances.
 const GROUP_PEER_TTL: Duration = Duration::from_secs(2);
 
-/// A number that grows with each change of the members.
+/// A version of the list of members; it grows with each change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Epoch(u64);
 
-/// What the members follow from.
+/// Inputs that the cached members were computed from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct CacheKey {
     generation: u64,
-    /// Whether instances that were not heard yet are among them.
+    /// Whether expected instances from which nothing was received yet are included.
     includes_expected: bool,
 }
 
 #[derive(Default)]
 struct CachedMembers {
-    /// `None` if they have to be collected anew.
+    /// `None` if the members must be collected again.
     key: Option<CacheKey>,
     epoch: Epoch,
     members: Rc<Members>,
 }
 
-/// An instance that is told what this one sees.
+/// An instance that monitors some of the same groups and receives this instance's views of them.
 struct GroupPeer {
-    /// The groups that both look at.
+    /// The groups that both instances monitor.
     groups: BTreeSet<GroupName>,
     until: BootInstant,
 }
 
-/// Who is there, and what they said.
+/// Membership of the fleet and the last state received from each instance.
 pub struct PeerTable {
     own: Member,
     membership: RefCell<Membership>,
     pub(crate) views: Views,
-    /// Instances that look at the same groups, and until when they are told each time.
+    /// Instances that monitor the same groups, by address.
     group_peers: RefCell<BTreeMap<SocketAddr, GroupPeer>>,
     store_contact: LastKnown,
     home_contact: LastKnown,
-    /// Instances that are outcome to work although they were not heard yet, and until when.
+    /// Registered instances that count as members until `expected_until`, although nothing was
+    /// received from them yet.
     expected: RefCell<Vec<Member>>,
     expected_until: Cell<Option<BootInstant>>,
     cached: RefCell<CachedMembers>,
@@ -70,7 +72,7 @@
 }
 
 impl PeerTable {
-    /// A table of `own` alone that begins with some addresses to ask.
+    /// Creates a table that contains only `own` and probes `seeds` for other instances.
     pub fn new(own: Member, seeds: impl IntoIterator<Item = SocketAddr>) -> PeerTable {
         PeerTable {
             membership: RefCell::new(Membership::new(own.clone(), seeds)),
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Takes a heartbeat that arrived at `now`.
+    /// Processes a heartbeat that arrived at `now`.
     pub(crate) fn handle_heartbeat(&self, heartbeat: Heartbeat, now: BootInstant) -> GossipOutcome {
         let outcome = self.membership.borrow_mut().handle_gossip(&heartbeat.gossip, now);
         self.store_contact.record_age(heartbeat.store_age_ms, now);
@@ -100,27 +102,28 @@
         outcome
     }
 
-    /// Notified when there are news of instances to pass on.
+    /// Notified when there are membership updates to forward.
     pub(crate) fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// Whether there are news of instances to pass on.
+    /// Whether there are membership updates to forward.
     pub(crate) fn has_updates(&self) -> bool {
         self.membership.borrow().has_updates()
     }
 
-    /// Adds an address where an instance may be.
+    /// Adds an address where an instance may run, to be probed.
     pub(crate) fn add_probe_address(&self, address: SocketAddr) {
         self.membership.borrow_mut().add_probe_address(address);
     }
 
-    /// Announces whether this instance takes no new work.
+    /// Announces whether this instance refuses new work.
     pub(crate) fn set_leaving(&self, leaving: bool) {
         self.membership.borrow_mut().set_leaving(leaving);
     }
 
-    /// Looks who has fallen silent; gives those that are dead now.
+    /// Suspects silent instances and expires old state; returns the instances that are now declared
+    /// dead.
     pub(crate) fn check(&self, now: BootInstant) -> Vec<InstanceId> {
         let dead = self.membership.borrow_mut().check(now);
         self.views.forget_silent(now);
@@ -130,22 +133,23 @@
         dead
     }
 
-    /// Begins a round of heartbeats; gives whom to send one beside those that are group_peers.
+    /// Begins a round of heartbeats; returns the receivers other than group peers.
     pub(crate) fn begin_round(&self, random: u64, now: BootInstant) -> Vec<SocketAddr> {
         self.membership.borrow_mut().begin_round(random, now)
     }
 
-    /// What the heartbeat of this round to the instance at `to` tells of the fleet.
+    /// The membership part of this round's heartbeat to the instance at `to`.
     pub(crate) fn gossip(&self, to: SocketAddr, now: BootInstant) -> Gossip {
         self.membership.borrow_mut().gossip_for(to, now)
     }
 
-    /// What to answer the sender of `gossip`.
+    /// The membership part of the answer to `gossip`.
     pub(crate) fn answer(&self, gossip: &Gossip, now: BootInstant) -> Gossip {
         self.membership.borrow_mut().answer(gossip, now)
     }
 
-    /// Tells the instances that are `found` at the same groups each time from now on, and some time longer.
+    /// Sets the instances that monitor the same groups. Those that no longer do so receive
+    /// heartbeats until [`GROUP_PEER_TTL`] has passed.
     pub(crate) fn update_group_peers(
         &self,
         found: BTreeMap<SocketAddr, BTreeSet<GroupName>>,
@@ -159,7 +163,7 @@
         group_peers.extend(others.map(|(address, groups)| (address, GroupPeer { groups, until })));
     }
 
-    /// The instances that are told what this one sees of its groups, of those whose common groups are `is_selected`.
+    /// Addresses of the group peers whose shared groups satisfy `is_selected`.
     pub(crate) fn group_peers(
         &self,
         is_selected: impl Fn(&BTreeSet<GroupName>) -> bool,
@@ -172,12 +176,12 @@
             .collect()
     }
 
-    /// The groups that this instance and the one at `address` look at.
+    /// The groups that both this instance and the one at `address` monitor.
     pub(crate) fn shared_groups(&self, address: SocketAddr) -> BTreeSet<GroupName> {
         self.group_peers.borrow().get(&address).map(|it| it.groups.clone()).unwrap_or_default()
     }
 
-    /// This instance reaches the platform's store.
+    /// Records that this instance reaches the platform's store.
     pub(crate) fn record_store_contact(&self, now: BootInstant) {
         self.store_contact.record(now);
     }
@@ -186,12 +190,12 @@
         self.store_contact.age_ms(now)
     }
 
-    /// Whether any instance is known to reach the platform's store.
+    /// Whether any instance, this one included, recently reached the platform's store.
     pub(crate) fn is_store_reachable_by_any(&self, now: BootInstant) -> bool {
         self.store_contact.is_within(STORE_CONTACT_TTL, now)
     }
 
-    /// This instance is a home and reaches its leaders.
+    /// Records that this instance is a home and reaches its leaders.
     pub(crate) fn record_home_contact(&self, now: BootInstant) {
         self.home_contact.record(now);
     }
@@ -200,12 +204,13 @@
         self.home_contact.age_ms(now)
     }
 
-    /// Whether any home in this data centre is known to reach its leaders.
+    /// Whether any home in this data centre recently reached its leaders.
     pub(crate) fn has_working_home(&self, now: BootInstant) -> bool {
         self.home_contact.is_within(HOME_CONTACT_TTL, now)
     }
 
-    /// The instances heard lately whose news are newer than `version` and `revision`.
+    /// Responsive instances whose configuration is newer than `version` or whose list of targets is
+    /// newer than `revision`.
     pub(crate) fn peers_with_updates(
         &self,
         version: u64,
@@ -215,14 +220,14 @@
         self.views.peers_with_updates(version, revision, STORE_CONTACT_TTL, now)
     }
 
-    /// Takes `members` for instances at work until they are heard, but no longer than to `until`.
+    /// Counts `members` as members until something is received from them, at most until `until`.
     pub(crate) fn set_expected_members(&self, members: Vec<Member>, until: BootInstant) {
         *self.expected.borrow_mut() = members;
         self.expected_until.set(Some(until));
         self.cached.borrow_mut().key = None;
     }
 
-    /// Changes whenever the members do.
+    /// The version of the list of members.
     pub(crate) fn epoch(&self, now: BootInstant) -> Epoch {
         self.refresh(now);
         self.cached.borrow().epoch
@@ -234,9 +239,9 @@
         Rc::clone(&self.cached.borrow().members)
     }
 
-    /// Collects the members anew if anything changed that they follow from.
+    /// Collects the members again if their inputs changed.
     ///
-    /// Most of what changes is who is suspected, and leaves the members as they are.
+    /// Most changes of the generation only concern suspicions and leave the members unchanged.
     fn refresh(&self, now: BootInstant) {
         let includes_expected = self.expected_until.get().is_some_and(|until| now < until);
         let key = CacheKey { generation: self.membership.borrow().generation(), includes_expected };
@@ -263,28 +268,29 @@
         members
     }
 
-    /// Other instances that are alive, those on their way out included.
+    /// The number of other instances that are alive, including those that are leaving.
     pub(crate) fn running_count(&self) -> usize {
         self.membership.borrow().running().count()
     }
 
-    /// Whether `id` is alive, on its way out or not.
+    /// Whether `id` is alive, including while it is leaving.
     pub(crate) fn is_running(&self, id: &InstanceId, now: BootInstant) -> bool {
         let is_member = || self.membership.borrow().running().any(|it| it.id == *id);
         self.views.is_responsive(id, now) || is_member()
     }
 
-    /// Whether most of the instances that count are out of this one's reach.
+    /// Whether this instance can't reach most of the instances that are counted in majorities.
     pub fn is_isolated(&self, now: BootInstant) -> bool {
         self.membership.borrow().is_isolated(now)
     }
 
-    /// The part of the fleet, in percent, that is in data centres of which this instance reaches any.
+    /// Percentage of the fleet in data centres of which this instance reaches at least one
+    /// instance.
     pub(crate) fn reachable_percent(&self, now: BootInstant) -> u32 {
         self.membership.borrow().reachable_percent(now)
     }
 
-    /// Instances that count in majorities, this one included.
+    /// Number of instances that are counted in majorities, this one included.
     pub fn counted(&self, now: BootInstant) -> usize {
         self.membership.borrow().counted(now)
     }
--- a/crates/gullspar_direct/src/fleet/registry.rs
+++ b/crates/gullspar_direct/src/fleet/registry.rs
@@ -1,4 +1,4 @@
-//! Where instances find each other when nobody they were told of answers.
+//! The registry, through which instances find each other when none of the known addresses answers.
 
 use futures::future::LocalBoxFuture;
 use quick_error::quick_error;
@@ -6,24 +6,25 @@
 use crate::Member;
 
 quick_error! {
-    /// Why the registry could not be used; it may have taken effect.
+    /// A failed request to the registry; it may have taken effect nevertheless.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum RegistryError {
-        /// No answer came, or a refusal.
+        /// The registry did not answer or refused the request.
         Unavailable(reason: String) {
-            display("the registry can't be used: {reason}")
+            display("registry unavailable: {reason}")
         }
     }
 }
 
-/// A list of instances that outlives them.
+/// A persistent list of the fleet's instances.
 pub trait Registry {
-    /// Enters an instance, or replaces what stands there of it.
+    /// Registers an instance, replacing its previous entry.
     fn register<'a>(&'a self, member: &'a Member) -> LocalBoxFuture<'a, Result<(), RegistryError>>;
 
-    /// The newest era of the store behind it that any of its answers to this instance told.
+    /// The newest era of the store behind the registry, as reported by its answers to this
+    /// instance.
     fn era(&self) -> u64;
 
-    /// All entries, those of instances that are gone included.
+    /// All entries, including those of instances that no longer run.
     fn entries(&self) -> LocalBoxFuture<'_, Result<Vec<Member>, RegistryError>>;
 }
--- a/crates/gullspar_direct/src/fleet/views.rs
+++ b/crates/gullspar_direct/src/fleet/views.rs
@@ -1,4 +1,4 @@
-//! What instances that were received say of groups and of themselves.
+//! The newest heartbeats received from other instances, and what they report about groups.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,16 +11,17 @@
 
 use crate::{Heartbeat, LeaderHealth};
 
-/// An instance received within this time is alive: five heartbeats in a row may get lost.
+/// An instance is alive if something was received from it within this time; this tolerates five
+/// lost heartbeats in a row.
 const ALIVE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// A view of a group older than this says nothing about its leader any more.
+/// Age from which a view of a group says nothing about its leader any more.
 const VIEW_TTL: Duration = Duration::from_millis(700);
 
-/// A view older than this no longer shows that nobody has decided on another leader.
+/// Age from which a view no longer shows that no other leader has been decided on.
 ///
-/// One heartbeat may get lost. Behind a cut the others order a successor some time after they see that the leader is out
-/// of their reach, which takes them longer than this.
+/// This tolerates one lost heartbeat. It is shorter than the time that instances on the other side
+/// of a partition need to promote a successor.
 const CONFIRMATION_TTL: Duration = Duration::from_millis(350);
 
 struct Received {
@@ -28,9 +29,11 @@
     at: BootInstant,
 }
 
-/// The newest heartbeat of each instance that sends some here: contacts, and those that look at the same groups.
+/// The newest heartbeat of each instance that sends heartbeats to this one: contacts and group
+/// peers.
 ///
-/// The latter tell each other directly, so that how old a view is does not depend on the size of the fleet.
+/// Group peers send theirs directly, so that the age of a view does not depend on the size of the
+/// fleet.
 #[derive(Default)]
 pub(crate) struct Views {
     received: RefCell<BTreeMap<InstanceId, Received>>,
@@ -42,12 +45,12 @@
         self.received.borrow_mut().insert(from, Received { heartbeat, at: now });
     }
 
-    /// Forgets instances that were silent for so long that they count no more.
+    /// Removes instances that have been silent for so long that they are no longer counted.
     pub(crate) fn forget_silent(&self, now: BootInstant) {
         self.received.borrow_mut().retain(|_, it| now.since(it.at) < DEAD_COUNTED_PERIOD);
     }
 
-    /// Names of the instances that look at `group` and stay.
+    /// Names of the instances that monitor `group` and are not leaving.
     pub(crate) fn monitoring_ids(&self, group: &GroupName, now: BootInstant) -> Vec<InstanceId> {
         self.select(now, ALIVE_TIMEOUT, |it| {
             let has_view = it.view(group).is_some();
@@ -55,7 +58,7 @@
         })
     }
 
-    /// Addresses of the instances that look at `group`.
+    /// Addresses of the instances that monitor `group`.
     pub(crate) fn monitoring_addresses(
         &self,
         group: &GroupName,
@@ -64,21 +67,23 @@
         self.select(now, DEAD_COUNTED_PERIOD, |it| it.view(group).map(|_| it.address()))
     }
 
-    /// Whether `id` was received lately.
+    /// Whether a heartbeat was recently received from `id`.
     pub(crate) fn is_responsive(&self, id: &InstanceId, now: BootInstant) -> bool {
         self.received.borrow().get(id).is_some_and(|it| now.since(it.at) < ALIVE_TIMEOUT)
     }
 
-    /// Instances that count in a majority about `group`, this one included: those that look at it.
+    /// Number of instances that are counted in majorities about `group`: those that monitor it,
+    /// this one included.
     pub(crate) fn counted_for(&self, group: &GroupName, now: BootInstant) -> usize {
-        let monitors = |it: &Heartbeat| {
+        let is_monitoring = |it: &Heartbeat| {
             let has_view = it.view(group).is_some();
             (!it.is_leaving() && has_view).then_some(())
         };
-        1 + self.select(now, DEAD_COUNTED_PERIOD, monitors).len()
+        1 + self.select(now, DEAD_COUNTED_PERIOD, is_monitoring).len()
     }
 
-    /// Whether at least half of the instances that count see `leader` lead `group`.
+    /// Whether other instances see `leader` leading `group` and are more than half of those
+    /// counted.
     pub(crate) fn is_seen_leading_by_majority(
         &self,
         group: &GroupName,
@@ -93,10 +98,11 @@
         2 * self.select(now, VIEW_TTL, sees).len() > self.counted_for(group, now)
     }
 
-    /// Whether most of the instances that count, this one included, have spoken since `since` and not against
-    /// `leader` of `group`.
+    /// Whether a majority of the counted instances, this one included, has sent a view since
+    /// `since` that does not oppose `leader` of `group`.
     ///
-    /// A promotion needs half of them against the leader, so that none had been decided on as of `since`.
+    /// A promotion requires that at least half of them oppose the leader, so none was decided on
+    /// before `since`.
     pub(crate) fn is_leader_confirmed(
         &self,
         group: &GroupName,
@@ -108,7 +114,7 @@
             let view = it.view(group)?;
             let not_against = match view.health {
                 LeaderHealth::Leads => view.leader.as_ref() == Some(leader),
-                // One that has just started has no say yet.
+                // An instance that has just started has no opinion yet.
                 LeaderHealth::Unsure => true,
                 LeaderHealth::Unresponsive | LeaderHealth::NoLeader => false,
             };
@@ -119,7 +125,7 @@
         2 * confirming > self.counted_for(group, now)
     }
 
-    /// Other instances that take work and lately saw `group` led by somebody.
+    /// Other instances that take work and recently saw a leader of `group`.
     pub(crate) fn members_seeing_leader(&self, group: &GroupName, now: BootInstant) -> Vec<Member> {
         let sees = |it: &Heartbeat| {
             let view = it.view(group)?;
@@ -129,7 +135,7 @@
         self.select(now, VIEW_TTL, sees)
     }
 
-    /// Whether any other instance lately saw `group` led by somebody.
+    /// Whether any other instance recently saw a leader of `group`.
     pub(crate) fn is_leader_seen_by_peers(&self, group: &GroupName, now: BootInstant) -> bool {
         let sees = |it: &Heartbeat| {
             let view = it.view(group)?;
@@ -138,7 +144,8 @@
         !self.select(now, VIEW_TTL, sees).is_empty()
     }
 
-    /// Other instances that lately saw no working leader in `group`, or saw this one fail.
+    /// Number of other instances that recently saw no leader in `group`, or saw `leader`
+    /// unresponsive.
     pub(crate) fn count_against_leader(
         &self,
         group: &GroupName,
@@ -158,10 +165,12 @@
         self.select(now, VIEW_TTL, against).len()
     }
 
-    /// The instances received lately whose news are newer than `version` and `revision`.
+    /// Responsive instances whose configuration is newer than `version` or whose list of targets is
+    /// newer than `revision`.
     ///
-    /// A list of targets is taken from one that knows of an instance that the store still answers: one that is cut off
-    /// from it may hold a list from a moment at which most entries had lapsed.
+    /// A list of targets is only accepted from an instance with recent store contact. The list of
+    /// an instance that is partitioned from the store may date from a moment when most entries had
+    /// expired.
     pub(crate) fn peers_with_updates(
         &self,
         version: u64,
