--- a/crates/gullspar_direct/src/fleet/peer_table.rs
+++ b/crates/gullspar_direct/src/fleet/peer_table.rs
@@ -262,7 +262,7 @@
         let mut members: Vec<Member> = membership.members().cloned().collect();
         if includes_expected {
             let expected = self.expected.borrow();
-            members.extend(expected.iter().filter(|it| !membership.knows(&it.id)).cloned());
+            members.extend(expected.iter().filter(|it| !membership.is_known(&it.id)).cloned());
         }
         members.push(self.own.clone());
         members
--- a/crates/gullspar_membership/src/gossip.rs
+++ b/crates/gullspar_membership/src/gossip.rs
@@ -15,7 +15,7 @@
         pub counted: u32,
         /// Which of its contacts the sender hears.
         pub links: LinkCounts,
-        pub news: Vec<MemberRecord>,
+        pub updates: Vec<MemberRecord>,
         /// The sender takes the receiver for a contact, or tries an address, and needs to hear from it.
         pub expects_answer: bool,
     }
--- a/crates/gullspar_membership/src/link_counts.rs
+++ b/crates/gullspar_membership/src/link_counts.rs
@@ -4,13 +4,13 @@
 
 use gullspar_model::record;
 
-use crate::Class;
+use crate::Proximity;
 
 record! {
     /// Contacts of one class.
     #[derive(Copy, Default)]
     pub struct Tally {
-        pub heard: u32,
+        pub responsive: u32,
         /// Those heard and those silent; one that was met a moment ago is neither.
         pub known: u32,
     }
@@ -27,7 +27,7 @@
 
 impl AddAssign for Tally {
     fn add_assign(&mut self, other: Tally) {
-        self.heard += other.heard;
+        self.responsive += other.responsive;
         self.known += other.known;
     }
 }
@@ -35,27 +35,27 @@
 impl Tally {
     /// Whether more than half of the known contacts are silent.
     pub(crate) fn is_mostly_silent(self) -> bool {
-        2 * self.heard < self.known
+        2 * self.responsive < self.known
     }
 }
 
 impl LinkCounts {
     /// Contacts of either class that are heard.
-    pub(crate) fn heard(&self) -> usize {
-        (self.near.heard + self.far.heard) as usize
+    pub(crate) fn responsive(&self) -> usize {
+        (self.near.responsive + self.far.responsive) as usize
     }
 
-    pub(crate) fn of(&self, class: Class) -> Tally {
-        match class {
-            Class::Near => self.near,
-            Class::Far => self.far,
+    pub(crate) fn of(&self, proximity: Proximity) -> Tally {
+        match proximity {
+            Proximity::Near => self.near,
+            Proximity::Far => self.far,
         }
     }
 
-    pub(crate) fn of_mut(&mut self, class: Class) -> &mut Tally {
-        match class {
-            Class::Near => &mut self.near,
-            Class::Far => &mut self.far,
+    pub(crate) fn of_mut(&mut self, proximity: Proximity) -> &mut Tally {
+        match proximity {
+            Proximity::Near => &mut self.near,
+            Proximity::Far => &mut self.far,
         }
     }
 }
--- a/crates/gullspar_membership/src/member_record.rs
+++ b/crates/gullspar_membership/src/member_record.rs
@@ -35,7 +35,7 @@
 
 impl MemberRecord {
     /// Whether this record says something newer than `other` about the same instance.
-    pub(crate) fn supersedes(&self, other: &MemberRecord) -> bool {
+    pub(crate) fn has_precedence_over(&self, other: &MemberRecord) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
 
--- a/crates/gullspar_membership/src/membership.rs
+++ b/crates/gullspar_membership/src/membership.rs
@@ -7,12 +7,12 @@
 use gullspar_model::InstanceId;
 
 use crate::links::Links;
-use crate::roster::Roster;
+use crate::member_table::MemberTable;
 use crate::timing::{
-    ALL_CONTACTS_UP_TO, ANSWER_RECORDS, JOIN_FANOUT, REVIVE_EVERY, STALLED_AFTER, SYNC_RECORDS,
-    VERIFY_FANOUT, VERIFY_TRIES,
+    JOIN_FANOUT, MAX_ANSWER_RECORDS, MAX_FULL_MESH_PEERS, MAX_PROBE_TRIES, MAX_SYNC_RECORDS,
+    PROBE_FANOUT, REVIVE_ROUND_INTERVAL, STALLED_AFTER,
 };
-use crate::{Class, Gossip, Member, MemberRecord, MemberState};
+use crate::{Gossip, Member, MemberRecord, MemberState, Proximity};
 
 /// What became of a heartbeat that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 
 /// An address where an instance may be.
 #[derive(Debug)]
-struct Lead {
+struct ProbeAddress {
     tries: u32,
     /// It stands in the settings and is never dropped.
     is_seed: bool,
@@ -38,15 +38,15 @@
 #[derive(Debug)]
 pub struct Membership {
     own: MemberRecord,
-    roster: Roster,
+    table: MemberTable,
     links: Links,
     /// The generation of the roster that the links were chosen for.
-    linked_for: Option<u64>,
-    leads: BTreeMap<SocketAddr, Lead>,
+    links_generation: Option<u64>,
+    probe_addresses: BTreeMap<SocketAddr, ProbeAddress>,
     /// What the heartbeats of the present round pass on.
-    round_news: Vec<MemberRecord>,
+    round_updates: Vec<MemberRecord>,
     /// Addresses beside those of contacts that get a heartbeat in the present round.
-    tried: Vec<SocketAddr>,
+    probed: Vec<SocketAddr>,
     rounds: u64,
     /// Instances that counted when the present round began.
     counted: usize,
@@ -64,15 +64,15 @@
             state_age_ms: 0,
             renewals: 0,
         };
-        let seeds = seeds.into_iter().map(|it| (it, Lead { tries: 0, is_seed: true }));
+        let seeds = seeds.into_iter().map(|it| (it, ProbeAddress { tries: 0, is_seed: true }));
         Membership {
-            roster: Roster::new(own.member.data_centre.clone()),
+            table: MemberTable::new(own.member.data_centre.clone()),
             own,
             links: Links::default(),
-            linked_for: None,
-            leads: seeds.collect(),
-            round_news: Vec::new(),
-            tried: Vec::new(),
+            links_generation: None,
+            probe_addresses: seeds.collect(),
+            round_updates: Vec::new(),
+            probed: Vec::new(),
             rounds: 0,
             counted: 1,
             checked_at: None,
@@ -81,8 +81,11 @@
 
     /// Adds an address where an instance may be.
     pub fn add_probe_address(&mut self, address: SocketAddr) {
-        let lead = self.leads.entry(address).or_insert(Lead { tries: 0, is_seed: false });
-        lead.tries = 0;
+        let entry = self
+            .probe_addresses
+            .entry(address)
+            .or_insert(ProbeAddress { tries: 0, is_seed: false });
+        entry.tries = 0;
     }
 
     /// Announces whether this instance takes no new work.
@@ -98,13 +101,13 @@
         self.rounds += 1;
         self.counted = self.counted(now);
         self.choose_links(now);
-        self.round_news = self.roster.take_news(now);
-        self.tried = self.leads_to_try(random);
-        if self.rounds.is_multiple_of(REVIVE_EVERY) {
-            self.tried.extend(self.to_revive(random));
+        self.round_updates = self.table.next_updates(now);
+        self.probed = self.addresses_to_probe(random);
+        if self.rounds.is_multiple_of(REVIVE_ROUND_INTERVAL) {
+            self.probed.extend(self.address_to_revive(random));
         }
         let mut to = self.links.addresses();
-        to.extend(&self.tried);
+        to.extend(&self.probed);
         to.retain(|it| *it != self.own.member.address);
         to.sort();
         to.dedup();
@@ -112,50 +115,51 @@
     }
 
     fn choose_links(&mut self, now: BootInstant) {
-        let dropped = self.links.drop_past(|id| self.roster.is_past(id, now));
-        let keeps_dead = self.links.keeps_any(|id| self.roster.is_dead(id));
-        let is_current = self.linked_for == Some(self.roster.generation());
-        if is_current && !dropped && !keeps_dead {
+        let has_dropped_links = self.links.drop_expired(|id| self.table.is_expired(id, now));
+        let has_dead_links = self.links.has_any(|id| self.table.is_dead(id));
+        let is_current = self.links_generation == Some(self.table.generation());
+        if is_current && !has_dropped_links && !has_dead_links {
             return;
         }
-        self.linked_for = Some(self.roster.generation());
-        let others: Vec<&Member> = self.roster.alive().map(|it| &it.member).collect();
+        self.links_generation = Some(self.table.generation());
+        let others: Vec<&Member> = self.table.alive().map(|it| &it.member).collect();
         self.links.choose(&self.own.member, &others, now);
     }
 
     /// Addresses to try that nobody is known to be at.
-    fn leads_to_try(&mut self, random: u64) -> Vec<SocketAddr> {
-        let alone = self.roster.is_alone();
-        let fanout = if alone { JOIN_FANOUT } else { VERIFY_FANOUT };
-        self.leads.retain(|_, it| it.is_seed || it.tries < VERIFY_TRIES);
-        let is_open = |it: &Lead| alone || !it.is_seed;
-        let mut open: Vec<(&SocketAddr, &mut Lead)> =
-            self.leads.iter_mut().filter(|(_, it)| is_open(it)).collect();
-        let turn = random as usize % open.len().max(1);
-        open.rotate_left(turn);
-        let chosen = open.into_iter().take(fanout);
+    fn addresses_to_probe(&mut self, random: u64) -> Vec<SocketAddr> {
+        let is_alone = self.table.is_alone();
+        let fanout = if is_alone { JOIN_FANOUT } else { PROBE_FANOUT };
+        self.probe_addresses.retain(|_, it| it.is_seed || it.tries < MAX_PROBE_TRIES);
+        let should_probe = |it: &ProbeAddress| is_alone || !it.is_seed;
+        let mut candidates: Vec<(&SocketAddr, &mut ProbeAddress)> =
+            self.probe_addresses.iter_mut().filter(|(_, it)| should_probe(it)).collect();
+        let offset = random as usize % candidates.len().max(1);
+        candidates.rotate_left(offset);
+        let chosen = candidates.into_iter().take(fanout);
         chosen
-            .map(|(at, it)| {
+            .map(|(address, it)| {
                 it.tries += 1;
-                *at
+                *address
             })
             .collect()
     }
 
     /// Believes a record of another instance if it is news; tells whether it was.
-    fn learn(&mut self, record: &MemberRecord, now: BootInstant) -> bool {
-        let is_news = self.roster.learn(record, now);
-        let at = &record.member.address;
-        if is_news && self.leads.get(at).is_some_and(|it| !it.is_seed) {
-            self.leads.remove(at);
+    fn apply_record(&mut self, record: &MemberRecord, now: BootInstant) -> bool {
+        let is_newer = self.table.apply_record(record, now);
+        let address = &record.member.address;
+        if is_newer && self.probe_addresses.get(address).is_some_and(|it| !it.is_seed) {
+            self.probe_addresses.remove(address);
         }
-        is_news
+        is_newer
     }
 
     /// A dead instance or an address of the settings, by turns.
-    fn to_revive(&self, random: u64) -> Option<SocketAddr> {
-        let dead = self.roster.dead().map(|it| it.member.address);
-        let seeds = self.leads.iter().filter(|(_, it)| it.is_seed).map(|(at, _)| *at);
+    fn address_to_revive(&self, random: u64) -> Option<SocketAddr> {
+        let dead = self.table.dead().map(|it| it.member.address);
+        let seeds =
+            self.probe_addresses.iter().filter(|(_, it)| it.is_seed).map(|(address, _)| *address);
         let all: Vec<SocketAddr> = dead.chain(seeds).collect();
         all.get((random as usize).checked_rem(all.len())?).copied()
     }
@@ -164,48 +168,48 @@
     ///
     /// It may be sent to others than those that [`Membership::begin_round`] gave.
     pub fn gossip_for(&mut self, to: SocketAddr, now: BootInstant) -> Gossip {
-        let mut news = self.round_news.clone();
-        let contact = self.links.at(to);
-        if contact.as_ref().is_some_and(|it| self.links.differs(it)) {
-            news.extend(self.roster.in_turn(SYNC_RECORDS, now));
+        let mut updates = self.round_updates.clone();
+        let contact = self.links.id_at(to);
+        if contact.as_ref().is_some_and(|it| self.links.has_different_view(it)) {
+            updates.extend(self.table.next_sync_records(MAX_SYNC_RECORDS, now));
         }
-        let belief = contact.as_ref().and_then(|it| self.roster.told(it, now));
-        news.extend(belief.filter(|it| it.state != MemberState::Alive));
-        let is_lead = self.tried.contains(&to);
-        self.gossip(news, contact.is_some() || is_lead, now)
+        let known_record = contact.as_ref().and_then(|it| self.table.record_to_send(it, now));
+        updates.extend(known_record.filter(|it| it.state != MemberState::Alive));
+        let is_probed = self.probed.contains(&to);
+        self.gossip(updates, contact.is_some() || is_probed, now)
     }
 
     /// What to answer the sender of `gossip`: it is no contact, or does not know what is believed of it.
     pub fn answer(&mut self, gossip: &Gossip, now: BootInstant) -> Gossip {
         let from = &gossip.from;
-        let belief = self.roster.told(&from.member.id, now);
-        let mut news: Vec<MemberRecord> =
-            belief.into_iter().filter(|it| it.supersedes(from)).collect();
-        if self.differs(gossip) {
-            news.extend(self.roster.in_turn(ANSWER_RECORDS, now));
+        let known_record = self.table.record_to_send(&from.member.id, now);
+        let mut updates: Vec<MemberRecord> =
+            known_record.into_iter().filter(|it| it.has_precedence_over(from)).collect();
+        if self.has_different_view(gossip) {
+            updates.extend(self.table.next_sync_records(MAX_ANSWER_RECORDS, now));
         }
-        self.gossip(news, false, now)
+        self.gossip(updates, false, now)
     }
 
-    fn gossip(&self, news: Vec<MemberRecord>, expects_answer: bool, now: BootInstant) -> Gossip {
+    fn gossip(&self, updates: Vec<MemberRecord>, expects_answer: bool, now: BootInstant) -> Gossip {
         Gossip {
             from: self.own.clone(),
             digest: self.digest(),
             counted: self.counted as u32,
             links: self.links.counts(now),
-            news,
+            updates,
             expects_answer,
         }
     }
 
     /// Whether the sender knows others than this instance does.
-    fn differs(&self, gossip: &Gossip) -> bool {
+    fn has_different_view(&self, gossip: &Gossip) -> bool {
         // One that has just started may know of all that live, and of none that died.
         gossip.digest != self.digest() || (gossip.counted as usize) < self.counted
     }
 
     fn digest(&self) -> u64 {
-        self.roster.digest() ^ self.own.digest()
+        self.table.digest() ^ self.own.digest()
     }
 
     /// Takes what another instance told.
@@ -214,24 +218,24 @@
         if from.member.id == self.own.member.id {
             return GossipOutcome { has_updates: false, needs_answer: false };
         }
-        let mut has_updates = self.learn(from, now);
-        self.roster.heard(&from.member.id, now);
-        for record in &gossip.news {
+        let mut has_updates = self.apply_record(from, now);
+        self.table.renew_suspect(&from.member.id, now);
+        for record in &gossip.updates {
             has_updates |= match record.member.id == self.own.member.id {
-                true => self.object_to(record),
-                false => self.learn(record, now),
+                true => self.refute(record),
+                false => self.apply_record(record, now),
             };
         }
-        let differs = self.differs(gossip);
+        let has_different_view = self.has_different_view(gossip);
         if let Some(link) = self.links.get_mut(&from.member.id) {
             link.silent_since = now;
-            link.was_heard = true;
+            link.has_responded = true;
             link.was_suspected = false;
-            link.told = gossip.links;
-            link.differs = differs;
+            link.reported = gossip.links;
+            link.has_different_view = has_different_view;
         }
         let is_outdated =
-            self.roster.get(&from.member.id).is_some_and(|known| known.supersedes(from));
+            self.table.get(&from.member.id).is_some_and(|known| known.has_precedence_over(from));
         let needs_answer =
             is_outdated || (gossip.expects_answer && !self.links.contains(&from.member.id));
         GossipOutcome { has_updates, needs_answer }
@@ -240,73 +244,74 @@
     /// Objects when others believe something else of this instance than it knows; tells whether it did.
     ///
     /// One that was started anew under its name is still believed to be what it was before.
-    fn object_to(&mut self, record: &MemberRecord) -> bool {
+    fn refute(&mut self, record: &MemberRecord) -> bool {
         let own = &mut self.own;
-        let agrees = record.state == MemberState::Alive
+        let is_accurate = record.state == MemberState::Alive
             && record.leaving == own.leaving
             && record.member == own.member;
-        let objects = record.incarnation > own.incarnation
-            || (record.incarnation == own.incarnation && !agrees);
-        if objects {
+        let should_refute = record.incarnation > own.incarnation
+            || (record.incarnation == own.incarnation && !is_accurate);
+        if should_refute {
             own.incarnation = record.incarnation + 1;
         }
-        objects
+        should_refute
     }
 
     /// Looks who has fallen silent or did not object; gives those that are dead now.
     ///
     /// To be called several times between two heartbeats.
     pub fn check(&mut self, now: BootInstant) -> Vec<InstanceId> {
-        let stalled = self.checked_at.map(|it| now.since(it)).unwrap_or_default();
+        let paused_for = self.checked_at.map(|it| now.since(it)).unwrap_or_default();
         self.checked_at = Some(now);
-        if stalled >= STALLED_AFTER {
-            self.links.forgive(stalled, now);
-            self.roster.forgive(stalled, now);
+        if paused_for >= STALLED_AFTER {
+            self.links.discount_pause(paused_for, now);
+            self.table.discount_pause(paused_for, now);
         }
-        for id in self.links.take_suspects(now) {
-            self.roster.suspect(&id, now);
+        for id in self.links.mark_silent(now) {
+            self.table.suspect(&id, now);
         }
-        self.roster.forget_dead(now);
-        self.roster.expire(now)
+        self.table.forget_dead(now);
+        self.table.expire_suspects(now)
     }
 
     /// Whether something waits to be passed on, so that the next round should not wait for its time.
     pub fn has_updates(&self) -> bool {
-        self.roster.has_updates()
+        self.table.has_updates()
     }
 
     /// Changes whenever anything that is believed of others does.
     pub fn generation(&self) -> u64 {
-        self.roster.generation()
+        self.table.generation()
     }
 
     /// The other instances that take work.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.roster.alive().filter(|it| !it.leaving).map(|it| &it.member)
+        self.table.alive().filter(|it| !it.leaving).map(|it| &it.member)
     }
 
     /// The other instances that are alive, those on their way out included.
     pub fn running(&self) -> impl Iterator<Item = &Member> {
-        self.roster.alive().map(|it| &it.member)
+        self.table.alive().map(|it| &it.member)
     }
 
     /// Whether anything was ever heard of `id`.
-    pub fn knows(&self, id: &InstanceId) -> bool {
-        self.roster.get(id).is_some()
+    pub fn is_known(&self, id: &InstanceId) -> bool {
+        self.table.get(id).is_some()
     }
 
     /// Instances that count in majorities, this one included.
     pub fn counted(&self, now: BootInstant) -> usize {
-        1 + self.roster.counted(now)
+        1 + self.table.counted(now)
     }
 
     /// The part of the instances that count, in percent, that is in data centres of which any other is believed to be
     /// alive, or in the own one.
     pub fn reachable_percent(&self, now: BootInstant) -> u32 {
         let own = &self.own.member.data_centre;
-        let places = self.roster.counted_by_place(now);
-        let counted: usize = 1 + places.values().map(|it| it.counted).sum::<usize>();
-        let reached = places.iter().filter(|(place, it)| **place == own || it.alive > 0);
+        let by_data_centre = self.table.counted_by_data_centre(now);
+        let counted: usize = 1 + by_data_centre.values().map(|it| it.counted).sum::<usize>();
+        let reached =
+            by_data_centre.iter().filter(|(data_centre, it)| **data_centre == own || it.alive > 0);
         let reached: usize = 1 + reached.map(|(_, it)| it.counted).sum::<usize>();
         (100 * reached / counted) as u32
     }
@@ -318,12 +323,14 @@
     /// reached.
     pub fn is_isolated(&self, now: BootInstant) -> bool {
         let counted = self.counted(now);
-        let reached = if counted <= 1 + ALL_CONTACTS_UP_TO {
-            self.links.counts(now).heard()
+        let reached = if counted <= 1 + MAX_FULL_MESH_PEERS {
+            self.links.counts(now).responsive()
         } else {
-            let counts = self.links.counts_with_told(now);
-            let reached = |class| self.roster.population(class, now).reached(counts.of(class));
-            reached(Class::Near) + reached(Class::Far)
+            let counts = self.links.combined_counts(now);
+            let estimate = |proximity| {
+                self.table.population(proximity, now).estimate_reachable(counts.of(proximity))
+            };
+            estimate(Proximity::Near) + estimate(Proximity::Far)
         };
         2 * (1 + reached) <= counted
     }
--- a/crates/gullspar_membership/src/population.rs
+++ b/crates/gullspar_membership/src/population.rs
@@ -16,10 +16,10 @@
     ///
     /// Soon after a cut nobody is known to be dead, and the silence of contacts tells how many are out of reach. Later
     /// the dead are known, and contacts that died have been replaced by others.
-    pub(crate) fn reached(self, links: Tally) -> usize {
+    pub(crate) fn estimate_reachable(self, links: Tally) -> usize {
         let by_links = match links.known {
             0 => self.counted,
-            known => self.counted * links.heard as usize / known as usize,
+            known => self.counted * links.responsive as usize / known as usize,
         };
         by_links.min(self.alive)
     }
--- a/crates/gullspar_membership/src/class.rs
+++ b/crates/gullspar_membership/src/proximity.rs
@@ -2,7 +2,7 @@
 
 gullspar_model::value! {
     /// Where another instance is, seen from this one.
-    pub enum Class {
+    pub enum Proximity {
         /// In the same data centre.
         Near,
         /// In another data centre.
--- a/crates/gullspar_membership/src/rings.rs
+++ b/crates/gullspar_membership/src/rings.rs
@@ -11,26 +11,26 @@
 
 use crate::Member;
 use crate::member;
-use crate::timing::{ALL_CONTACTS_UP_TO, FAR_RINGS, NEAR_RINGS};
+use crate::timing::{FAR_RINGS, MAX_FULL_MESH_PEERS, NEAR_RINGS};
 
 /// Told apart from the seeds of near rings.
 const FAR_SEED: u64 = 1 << 32;
 
 /// The contacts of `own` among `others`.
 pub(crate) fn contacts(own: &Member, others: &[&Member]) -> BTreeSet<InstanceId> {
-    if others.len() <= ALL_CONTACTS_UP_TO {
+    if others.len() <= MAX_FULL_MESH_PEERS {
         return others.iter().map(|it| it.id.clone()).collect();
     }
     let mut all = others.to_vec();
     all.push(own);
     let near: Vec<&Member> =
         all.iter().copied().filter(|it| it.data_centre == own.data_centre).collect();
-    let near_rings = (0..NEAR_RINGS).map(|seed| by_hash(&near, seed));
-    let far_rings = (0..FAR_RINGS).map(|seed| alternating(&all, FAR_SEED + seed));
+    let near_rings = (0..NEAR_RINGS).map(|seed| order_by_hash(&near, seed));
+    let far_rings = (0..FAR_RINGS).map(|seed| interleave_data_centres(&all, FAR_SEED + seed));
     near_rings.chain(far_rings).flat_map(|it| neighbours(&it, own)).collect()
 }
 
-fn by_hash<'a>(members: &[&'a Member], seed: u64) -> Vec<&'a Member> {
+fn order_by_hash<'a>(members: &[&'a Member], seed: u64) -> Vec<&'a Member> {
     let mut ring = members.to_vec();
     ring.sort_by_cached_key(|it| {
         let member: &'a Member = it;
@@ -40,13 +40,13 @@
 }
 
 /// All members, those of each data centre spread evenly over the ring, so that most neighbours are of different ones.
-fn alternating<'a>(members: &[&'a Member], seed: u64) -> Vec<&'a Member> {
+fn interleave_data_centres<'a>(members: &[&'a Member], seed: u64) -> Vec<&'a Member> {
     let mut ring: Vec<(u64, &Member)> = Vec::with_capacity(members.len());
-    for (place, near) in member::by_data_centre(members.iter().copied()) {
+    for (data_centre, near) in member::by_data_centre(members.iter().copied()) {
         let gap = u64::MAX / near.len() as u64;
-        let start = hash(place.as_str(), seed) % gap;
-        let spread = by_hash(&near, seed).into_iter().enumerate();
-        ring.extend(spread.map(|(at, it)| (start + at as u64 * gap, it)));
+        let offset = hash(data_centre.as_str(), seed) % gap;
+        let ordered = order_by_hash(&near, seed).into_iter().enumerate();
+        ring.extend(ordered.map(|(at, it)| (offset + at as u64 * gap, it)));
     }
     ring.sort_by(|a, b| (a.0, &a.1.id).cmp(&(b.0, &b.1.id)));
     ring.into_iter().map(|it| it.1).collect()
@@ -55,8 +55,8 @@
 fn neighbours(ring: &[&Member], own: &Member) -> Vec<InstanceId> {
     let Some(at) = ring.iter().position(|it| it.id == own.id) else { return Vec::new() };
     let count = ring.len();
-    let both = [(at + 1) % count, (at + count - 1) % count];
-    both.into_iter().map(|it| ring[it].id.clone()).filter(|it| *it != own.id).collect()
+    let adjacent = [(at + 1) % count, (at + count - 1) % count];
+    adjacent.into_iter().map(|it| ring[it].id.clone()).filter(|it| *it != own.id).collect()
 }
 
 fn hash(text: &str, seed: u64) -> u64 {
--- a/crates/gullspar_membership/tests/fleet.rs
+++ b/crates/gullspar_membership/tests/fleet.rs
@@ -10,33 +10,33 @@
 use test_case::test_case;
 
 /// An instance that stops, starts or leaves is known to all within this time, in milliseconds.
-const NOTICED_WITHIN: u64 = 1500;
+const MAX_NOTICE_MS: u64 = 1500;
 
 /// An instance behind a cut knows that it is within this time, in milliseconds.
-const CUT_WITHIN: u64 = 1000;
+const MAX_ISOLATION_MS: u64 = 1000;
 
 /// A fleet whose cut is over, and one that starts together, is whole again within this time, in milliseconds.
-const WHOLE_WITHIN: u64 = 3000;
+const MAX_CONVERGENCE_MS: u64 = 3000;
 
 /// Instances of the simulated fleets fail in this many data centres.
-const PLACES: usize = 6;
+const DATA_CENTRES: usize = 6;
 
 const LOSS_PERMILLE: u64 = 10;
 
 fn fleet(size: usize, seed: u64) -> Fleet {
-    let mut fleet = Fleet::settled(size, PLACES.min(size / 2), seed);
+    let mut fleet = Fleet::settled(size, DATA_CENTRES.min(size / 2), seed);
     fleet.loss_permille = LOSS_PERMILLE;
     fleet
 }
 
 /// Has something happen to a fleet, with three seeds, and sees how soon all know of it.
-fn noticed_soon(size: usize, what: &str, happen: impl Fn(&mut Fleet)) {
+fn assert_noticed_in_time(size: usize, what: &str, change: impl Fn(&mut Fleet)) {
     for seed in 1..=3 {
         let mut fleet = fleet(size, seed);
-        happen(&mut fleet);
+        change(&mut fleet);
         let what = format!("{size} instances, seed {seed}: {what} is known to all");
-        let taken = fleet.run_until(NOTICED_WITHIN, &what, Fleet::all_know_all);
-        println!("{what} after {taken} ms");
+        let elapsed_ms = fleet.run_until(MAX_NOTICE_MS, &what, Fleet::all_know_all);
+        println!("{what} after {elapsed_ms} ms");
     }
 }
 
@@ -47,8 +47,8 @@
 #[test_case(85)]
 #[test_case(295)]
 #[test_case(2169 => ignore ["takes minutes without optimization"])]
-fn a_dead_instance_is_no_member_anywhere_soon(size: usize) {
-    noticed_soon(size, "a death", |fleet| {
+fn dead_instance_is_removed_everywhere_in_time(size: usize) {
+    assert_noticed_in_time(size, "a death", |fleet| {
         let dead = fleet.random.below(size as u64) as usize;
         fleet.kill(dead);
     });
@@ -58,8 +58,8 @@
 #[test_case(85)]
 #[test_case(295)]
 #[test_case(2169 => ignore ["takes minutes without optimization"])]
-fn an_instance_that_starts_is_a_member_everywhere_soon(size: usize) {
-    noticed_soon(size, "a start", |fleet| {
+fn started_instance_becomes_member_everywhere_in_time(size: usize) {
+    assert_noticed_in_time(size, "a start", |fleet| {
         fleet.start_one();
     });
 }
@@ -67,15 +67,18 @@
 #[test_case(9)]
 #[test_case(85)]
 #[test_case(295)]
-fn an_instance_that_leaves_is_no_member_anywhere_soon(size: usize) {
+fn leaving_instance_is_removed_everywhere_in_time(size: usize) {
     let mut fleet = fleet(size, 1);
-    fleet.nodes[4].membership.set_leaving(true);
-    let nobody_knows = |it: &Fleet| it.up().iter().all(|other| !it.knows(*other, 4));
-    fleet.run_until(NOTICED_WITHIN, "a leave is known to all", nobody_knows);
-    assert!(fleet.nodes[7].membership.running().any(|it| it.id == support_id(4)), "it still runs");
+    fleet.instances[4].membership.set_leaving(true);
+    let is_unknown_to_all = |it: &Fleet| it.up().iter().all(|other| !it.has_member(*other, 4));
+    fleet.run_until(MAX_NOTICE_MS, "a leave is known to all", is_unknown_to_all);
+    assert!(
+        fleet.instances[7].membership.running().any(|it| it.id == instance_id(4)),
+        "it still runs"
+    );
 }
 
-fn support_id(number: usize) -> gullspar_model::InstanceId {
+fn instance_id(number: usize) -> gullspar_model::InstanceId {
     gullspar_model::InstanceId::new(format!("entry-place-{number}"))
 }
 
@@ -86,28 +89,35 @@
 #[test_case(85)]
 #[test_case(295)]
 #[test_case(2169 => ignore ["takes minutes without optimization"])]
-fn instances_behind_a_cut_know_it_soon_and_the_others_are_not_misled(size: usize) {
+fn only_partitioned_instances_become_isolated_in_time(size: usize) {
     for seed in 1..=3 {
         let mut fleet = fleet(size, seed);
-        let place = seed as usize % fleet.nodes[size - 1].place.max(1);
-        let behind: Vec<usize> = (0..size).filter(|it| fleet.nodes[*it].place == place).collect();
-        let others: Vec<usize> = (0..size).filter(|it| fleet.nodes[*it].place != place).collect();
-        behind.iter().for_each(|it| fleet.nodes[*it].side = 1);
-        let all_know = |it: &Fleet| behind.iter().all(|number| it.is_isolated(*number));
-        let taken = fleet.run_until(CUT_WITHIN, "all behind the cut know it", all_know);
-        println!("{size} instances, seed {seed}: a cut is known behind it after {taken} ms");
+        let data_centre = seed as usize % fleet.instances[size - 1].data_centre.max(1);
+        let partitioned: Vec<usize> =
+            (0..size).filter(|it| fleet.instances[*it].data_centre == data_centre).collect();
+        let others: Vec<usize> =
+            (0..size).filter(|it| fleet.instances[*it].data_centre != data_centre).collect();
+        partitioned.iter().for_each(|it| fleet.instances[*it].side = 1);
+        let all_isolated = |it: &Fleet| partitioned.iter().all(|number| it.is_isolated(*number));
+        let elapsed_ms =
+            fleet.run_until(MAX_ISOLATION_MS, "all behind the cut know it", all_isolated);
+        println!("{size} instances, seed {seed}: a cut is known behind it after {elapsed_ms} ms");
         for _ in 0..60 {
             fleet.run_for(100 * MS);
-            let misled = others.iter().filter(|it| fleet.is_isolated(**it)).count();
-            assert_eq!(misled, 0, "nobody else takes itself for cut off");
-            let unaware = behind.iter().filter(|it| !fleet.is_isolated(**it)).count();
+            let falsely_isolated = others.iter().filter(|it| fleet.is_isolated(**it)).count();
+            assert_eq!(falsely_isolated, 0, "nobody else takes itself for cut off");
+            let unaware = partitioned.iter().filter(|it| !fleet.is_isolated(**it)).count();
             assert_eq!(unaware, 0, "seed {seed}: all behind the cut go on knowing it");
         }
-        assert!(others.iter().all(|it| fleet.knows_just(*it, &others)), "those behind it are gone");
-        behind.iter().for_each(|it| fleet.nodes[*it].side = 0);
-        let taken = fleet.run_until(WHOLE_WITHIN, "the fleet is whole", Fleet::all_know_all);
+        assert!(
+            others.iter().all(|it| fleet.knows_exactly(*it, &others)),
+            "those behind it are gone"
+        );
+        partitioned.iter().for_each(|it| fleet.instances[*it].side = 0);
+        let elapsed_ms =
+            fleet.run_until(MAX_CONVERGENCE_MS, "the fleet is whole", Fleet::all_know_all);
         assert!(fleet.up().iter().all(|it| !fleet.is_isolated(*it)));
-        println!("{size} instances, seed {seed}: whole {taken} ms after the cut");
+        println!("{size} instances, seed {seed}: whole {elapsed_ms} ms after the cut");
     }
 }
 
@@ -117,27 +127,28 @@
 #[test_case(85)]
 #[test_case(295)]
 #[test_case(2169 => ignore ["takes minutes without optimization"])]
-fn a_part_of_every_data_centre_that_is_cut_off_knows_it(size: usize) {
+fn partitioned_part_of_every_data_centre_becomes_isolated(size: usize) {
     // Whole thirds, not whole data centres.
-    let is_cut_off = |number: usize| (number / PLACES).is_multiple_of(3);
+    let is_partitioned = |number: usize| (number / DATA_CENTRES).is_multiple_of(3);
     for seed in 1..=3 {
         let mut fleet = fleet(size, seed);
         for number in 0..size {
-            fleet.nodes[number].side = u32::from(is_cut_off(number));
+            fleet.instances[number].side = u32::from(is_partitioned(number));
         }
-        fleet.run_for(NOTICED_WITHIN * MS);
-        let unaware = (0..size).filter(|it| is_cut_off(*it) && !fleet.is_isolated(*it)).count();
-        let misled = (0..size).filter(|it| !is_cut_off(*it) && fleet.is_isolated(*it)).count();
-        assert_eq!((unaware, misled), (0, 0), "of {size} instances, seed {seed}");
-        (0..size).for_each(|it| fleet.nodes[it].side = 0);
-        fleet.run_until(WHOLE_WITHIN, "the fleet is whole", Fleet::all_know_all);
+        fleet.run_for(MAX_NOTICE_MS * MS);
+        let unaware = (0..size).filter(|it| is_partitioned(*it) && !fleet.is_isolated(*it)).count();
+        let falsely_isolated =
+            (0..size).filter(|it| !is_partitioned(*it) && fleet.is_isolated(*it)).count();
+        assert_eq!((unaware, falsely_isolated), (0, 0), "of {size} instances, seed {seed}");
+        (0..size).for_each(|it| fleet.instances[it].side = 0);
+        fleet.run_until(MAX_CONVERGENCE_MS, "the fleet is whole", Fleet::all_know_all);
     }
 }
 
 /// Symptom: instances that work are taken for dead, so that their sessions and shares move back and forth.
 /// Events: one datagram in a hundred is lost; one instance in ten has too little processor and stands still again and
 /// again; others are suspended for a second and come back.
-fn nobody_dies_falsely(size: usize, seconds: u64, seed: u64) {
+fn assert_no_false_deaths(size: usize, seconds: u64, seed: u64) {
     let mut fleet = fleet(size, seed);
     let busy: Vec<usize> = (0..size).filter(|it| it % 10 == 3).collect();
     busy.iter().for_each(|it| fleet.make_busy(*it));
@@ -146,14 +157,14 @@
     }
     assert!(fleet.deaths.is_empty(), "{:?}", fleet.deaths);
     for round in 0..seconds / 10 {
-        let frozen = (round as usize * 17 + 5) % size;
+        let suspended = (round as usize * 17 + 5) % size;
         fleet.deaths.clear();
-        fleet.freeze(frozen, 3 * S);
+        fleet.suspend(suspended, 3 * S);
         fleet.run_for(3 * S);
         let dead: BTreeSet<_> = fleet.deaths.iter().map(|it| it.1.clone()).collect();
-        assert_eq!(dead.into_iter().collect::<Vec<_>>(), [support_id(frozen)]);
+        assert_eq!(dead.into_iter().collect::<Vec<_>>(), [instance_id(suspended)]);
         fleet.deaths.clear();
-        fleet.run_until(NOTICED_WITHIN, "it is back", Fleet::all_know_all);
+        fleet.run_until(MAX_NOTICE_MS, "it is back", Fleet::all_know_all);
         assert!(fleet.deaths.is_empty(), "it took nobody else for dead: {:?}", fleet.deaths);
         fleet.run_for(5 * S);
     }
@@ -165,8 +176,8 @@
 #[test_case(85, 600)]
 #[test_case(295, 600 => ignore ["takes minutes without optimization"])]
 #[test_case(2169, 600 => ignore ["takes minutes without optimization"])]
-fn nobody_is_taken_for_dead_falsely(size: usize, seconds: u64) {
-    nobody_dies_falsely(size, seconds, 1);
+fn running_instances_are_not_declared_dead(size: usize, seconds: u64) {
+    assert_no_false_deaths(size, seconds, 1);
 }
 
 /// Symptom: after a power loss of all, instances see different fleets for seconds, and so different homes and shares.
@@ -179,55 +190,55 @@
 #[test_case(85, false)]
 #[test_case(295, false)]
 #[test_case(2169, true => ignore ["takes minutes without optimization"])]
-fn a_fleet_that_starts_together_is_whole_soon(size: usize, listed: bool) {
-    let mut fleet = Fleet::new(PLACES.min(size / 2), 1);
+fn fleet_started_together_converges_in_time(size: usize, is_listed: bool) {
+    let mut fleet = Fleet::new(DATA_CENTRES.min(size / 2), 1);
     fleet.loss_permille = LOSS_PERMILLE;
-    fleet.start_together(size, listed);
+    fleet.start_together(size, is_listed);
     fleet.run_for(S / 2);
-    let taken = fleet.run_until(WHOLE_WITHIN, "all know all", Fleet::all_know_all);
-    println!("{size} instances, listed {listed}: whole {} ms after the start", taken + 500);
+    let elapsed_ms = fleet.run_until(MAX_CONVERGENCE_MS, "all know all", Fleet::all_know_all);
+    println!("{size} instances, listed {is_listed}: whole {} ms after the start", elapsed_ms + 500);
 }
 
 /// What an instance spends does not grow with the fleet: a few percent for several times as many.
 ///
 /// In a data centre of a few instances neighbours on its two rings are often the same, so that smaller fleets spend less.
 #[test]
-fn an_instance_spends_as_much_in_a_large_fleet_as_in_a_small_one() {
-    let spent = |size: usize| {
-        let mut fleet = Fleet::settled(size, PLACES, 1);
-        let before: (u64, u64, u64) = spent_by_all(&fleet);
+fn traffic_per_instance_does_not_grow_with_the_fleet() {
+    let traffic_per_instance = |size: usize| {
+        let mut fleet = Fleet::settled(size, DATA_CENTRES, 1);
+        let before: (u64, u64, u64) = total_traffic(&fleet);
         fleet.run_for(10 * S);
-        let after = spent_by_all(&fleet);
-        let each = |it: u64| it / 10 / size as u64;
-        let (sent, bytes) = (each(after.0 - before.0), each(after.1 - before.1));
-        let far = each(after.2 - before.2);
+        let after = total_traffic(&fleet);
+        let per_second = |it: u64| it / 10 / size as u64;
+        let (sent, bytes) = (per_second(after.0 - before.0), per_second(after.1 - before.1));
+        let far = per_second(after.2 - before.2);
         println!(
             "{size} instances: {sent} datagrams, {bytes} bytes, {far} far bytes a second each"
         );
         (sent, bytes)
     };
-    let (small, large) = (spent(85), spent(295));
+    let (small, large) = (traffic_per_instance(85), traffic_per_instance(295));
     assert!(large.0 * 100 <= small.0 * 110, "datagrams {small:?} {large:?}");
     assert!(large.1 * 100 <= small.1 * 110, "bytes {small:?} {large:?}");
 }
 
-fn spent_by_all(fleet: &Fleet) -> (u64, u64, u64) {
-    let nodes = &fleet.nodes;
-    let sum = |of: fn(&support::Node) -> u64| nodes.iter().map(of).sum();
+fn total_traffic(fleet: &Fleet) -> (u64, u64, u64) {
+    let instances = &fleet.instances;
+    let sum = |of: fn(&support::Instance) -> u64| instances.iter().map(of).sum();
     (sum(|it| it.datagrams), sum(|it| it.bytes), sum(|it| it.far_bytes))
 }
 
 /// Symptom: an instance that is restarted under its name is no member for as long as the old one is believed dead or
 /// leaving.
 #[test]
-fn an_instance_that_is_started_anew_is_a_member_again() {
+fn restarted_instance_becomes_member_again() {
     let mut fleet = fleet(85, 1);
-    fleet.nodes[20].membership.set_leaving(true);
+    fleet.instances[20].membership.set_leaving(true);
     fleet.run_for(2 * S);
     fleet.kill(20);
     fleet.run_for(3 * S);
     fleet.restart(20);
-    fleet.run_until(NOTICED_WITHIN, "it is a member", Fleet::all_know_all);
+    fleet.run_until(MAX_NOTICE_MS, "it is a member", Fleet::all_know_all);
     // Once more, before anybody noticed that it was gone.
     fleet.kill(20);
     fleet.restart(20);
@@ -239,19 +250,19 @@
 /// Events: most instances die for good; those left tell each other of the deaths again and again, and one starts anew.
 /// Cause: a death that is passed on must keep its age, and be told to one that has just started.
 #[test]
-fn the_dead_count_for_a_while_and_not_for_ever() {
+fn dead_instances_are_counted_for_a_limited_time() {
     let mut fleet = fleet(20, 1);
     (0..12).for_each(|it| fleet.kill(it));
     fleet.run_for(4 * S);
     let started = fleet.start_one();
-    fleet.nodes[started].membership.add_probe_address("10.1.0.15:7440".parse().unwrap());
+    fleet.instances[started].membership.add_probe_address("10.1.0.15:7440".parse().unwrap());
     fleet.run_for(S);
-    let counted = fleet.nodes[started].membership.counted(fleet.boot_now());
+    let counted = fleet.instances[started].membership.counted(fleet.boot_now());
     assert_eq!(counted, 21, "it is told of the dead");
     assert!(fleet.is_isolated(15));
     fleet.run_for(13 * S);
     for number in fleet.up() {
-        let counted = fleet.nodes[number].membership.counted(fleet.boot_now());
+        let counted = fleet.instances[number].membership.counted(fleet.boot_now());
         assert_eq!(counted, 9, "those left are the whole");
         assert!(!fleet.is_isolated(number));
     }
@@ -259,10 +270,11 @@
 
 /// Two halves that were cut apart for longer than the dead count find together again by themselves.
 #[test]
-fn halves_that_lost_each_other_for_long_find_together_again() {
+fn halves_merge_after_a_long_partition() {
     let mut fleet = fleet(40, 1);
-    (0..40).for_each(|it| fleet.nodes[it].side = u32::from(fleet.nodes[it].place < 2));
+    (0..40)
+        .for_each(|it| fleet.instances[it].side = u32::from(fleet.instances[it].data_centre < 2));
     fleet.run_for(40 * S);
-    (0..40).for_each(|it| fleet.nodes[it].side = 0);
+    (0..40).for_each(|it| fleet.instances[it].side = 0);
     fleet.run_until(10_000, "the fleet is whole", Fleet::all_know_all);
 }
--- a/crates/gullspar_membership/tests/support/fleet.rs
+++ b/crates/gullspar_membership/tests/support/fleet.rs
@@ -8,92 +8,92 @@
 use gullspar_membership::{Gossip, HEARTBEAT_INTERVAL, MIN_HEARTBEAT_INTERVAL};
 use gullspar_model::InstanceId;
 
-use super::node::{self, Load, Node};
+use super::instance::{self, Instance, Load};
 use super::{MS, Random};
 
 /// Between two looks of an instance at its links.
-const CHECK_EVERY: u64 = 100 * MS;
+const CHECK_INTERVAL: u64 = 100 * MS;
 
 /// Delays between instances of one data centre, and of two.
 const NEAR_DELAY: u64 = MS / 2;
 const FAR_DELAY: u64 = 2 * MS;
 
 /// A busy instance stands still about once a second, for up to this long.
-const LONGEST_STALL: u64 = 450 * MS;
+const MAX_STALL: u64 = 450 * MS;
 
 /// Instances whose addresses all know from their settings.
-const SEEDS: usize = 3;
+const SEED_COUNT: usize = 3;
 
 /// UDP and IP headers of a datagram, in bytes.
-const HEADERS: u64 = 28;
+const HEADER_BYTES: u64 = 28;
 
 /// All machines start within this time.
-const START_SPREAD: u64 = 300 * MS;
+const MAX_START_DELAY: u64 = 300 * MS;
 
 enum Event {
-    Round { node: usize, round: u64 },
-    Check { node: usize, life: u64 },
-    Stall { node: usize },
-    Arrive { node: usize, gossip: Rc<Gossip> },
+    Round { instance: usize, round: u64 },
+    Check { instance: usize, life: u64 },
+    Stall { instance: usize },
+    Receive { instance: usize, gossip: Rc<Gossip> },
 }
 
-struct Planned {
+struct ScheduledEvent {
     at: u64,
     order: u64,
     event: Event,
 }
 
-impl PartialEq for Planned {
-    fn eq(&self, other: &Planned) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Planned {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Planned {
-    fn partial_cmp(&self, other: &Planned) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Planned {
-    fn cmp(&self, other: &Planned) -> std::cmp::Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
 pub struct Fleet {
-    pub nodes: Vec<Node>,
+    pub instances: Vec<Instance>,
     pub now: u64,
     pub random: Random,
     /// Datagrams that get lost, in a thousand.
     pub loss_permille: u64,
     /// Instances that were declared dead by somebody while they were up and reachable.
     pub deaths: BTreeSet<(usize, InstanceId)>,
-    places: usize,
-    queue: BinaryHeap<Reverse<Planned>>,
-    planned: u64,
+    data_centres: usize,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    scheduled_count: u64,
 }
 
 impl Fleet {
     /// A fleet in which nobody has started.
-    pub fn new(places: usize, seed: u64) -> Fleet {
+    pub fn new(data_centres: usize, seed: u64) -> Fleet {
         Fleet {
-            nodes: Vec::new(),
+            instances: Vec::new(),
             now: 0,
             random: Random::new(seed),
             loss_permille: 0,
             deaths: BTreeSet::new(),
-            places,
+            data_centres,
             queue: BinaryHeap::new(),
-            planned: 0,
+            scheduled_count: 0,
         }
     }
 
     /// A fleet of which all know all.
-    pub fn settled(size: usize, places: usize, seed: u64) -> Fleet {
-        let mut fleet = Fleet::new(places, seed);
+    pub fn settled(size: usize, data_centres: usize, seed: u64) -> Fleet {
+        let mut fleet = Fleet::new(data_centres, seed);
         fleet.start_together(size, true);
         fleet.run_for(10_000 * MS);
         assert!(fleet.all_know_all(), "{size} instances know each other after 10 s");
@@ -102,14 +102,14 @@
     }
 
     /// Starts `size` instances at about the same time, with the addresses of all if `listed`.
-    pub fn start_together(&mut self, size: usize, listed: bool) {
+    pub fn start_together(&mut self, size: usize, is_listed: bool) {
         for number in 0..size {
-            let at = self.now + self.random.below(START_SPREAD);
+            let at = self.now + self.random.below(MAX_START_DELAY);
             self.add(number, at);
-            if listed {
+            if is_listed {
                 let all = (0..size).filter(|it| *it != number);
                 all.for_each(|it| {
-                    self.nodes[number].membership.add_probe_address(node::address(it))
+                    self.instances[number].membership.add_probe_address(instance::address(it))
                 });
             }
         }
@@ -117,48 +117,48 @@
 
     /// Starts one more instance now; gives its number.
     pub fn start_one(&mut self) -> usize {
-        let number = self.nodes.len();
+        let number = self.instances.len();
         self.add(number, self.now);
         number
     }
 
     fn add(&mut self, number: usize, at: u64) {
-        let seeds: Vec<_> = (0..SEEDS).map(node::address).collect();
-        self.nodes.push(Node::new(number, number % self.places, &seeds));
-        self.begin(number, at);
+        let seeds: Vec<_> = (0..SEED_COUNT).map(instance::address).collect();
+        self.instances.push(Instance::new(number, number % self.data_centres, &seeds));
+        self.start(number, at);
     }
 
-    fn begin(&mut self, number: usize, at: u64) {
-        let Node { life, round, .. } = self.nodes[number];
-        self.plan(at, Event::Round { node: number, round });
-        self.plan(at, Event::Check { node: number, life });
+    fn start(&mut self, number: usize, at: u64) {
+        let Instance { life, round, .. } = self.instances[number];
+        self.schedule(at, Event::Round { instance: number, round });
+        self.schedule(at, Event::Check { instance: number, life });
     }
 
     /// Ends an instance at once.
     pub fn kill(&mut self, number: usize) {
-        self.nodes[number].is_up = false;
-        self.nodes[number].life += 1;
+        self.instances[number].is_up = false;
+        self.instances[number].life += 1;
     }
 
     /// Starts an instance anew under its name; it knows nothing of before.
     pub fn restart(&mut self, number: usize) {
-        let seeds: Vec<_> = (0..SEEDS).map(node::address).collect();
-        let Node { life, round, .. } = self.nodes[number];
-        self.nodes[number] = Node::new(number, number % self.places, &seeds);
-        self.nodes[number].life = life + 1;
-        self.nodes[number].round = round + 1;
-        self.begin(number, self.now);
+        let seeds: Vec<_> = (0..SEED_COUNT).map(instance::address).collect();
+        let Instance { life, round, .. } = self.instances[number];
+        self.instances[number] = Instance::new(number, number % self.data_centres, &seeds);
+        self.instances[number].life = life + 1;
+        self.instances[number].round = round + 1;
+        self.start(number, self.now);
     }
 
     /// Has an instance stand still for `time`.
-    pub fn freeze(&mut self, number: usize, time: u64) {
-        self.nodes[number].still_until = self.now + time;
+    pub fn suspend(&mut self, number: usize, time: u64) {
+        self.instances[number].suspended_until = self.now + time;
     }
 
     pub fn make_busy(&mut self, number: usize) {
-        self.nodes[number].load = Load::Busy;
+        self.instances[number].load = Load::Busy;
         let at = self.now + self.random.below(1000 * MS);
-        self.plan(at, Event::Stall { node: number });
+        self.schedule(at, Event::Stall { instance: number });
     }
 
     pub fn boot_now(&self) -> BootInstant {
@@ -168,155 +168,158 @@
     pub fn run_for(&mut self, time: u64) {
         let end = self.now + time;
         while self.queue.peek().is_some_and(|it| it.0.at <= end) {
-            let Some(Reverse(planned)) = self.queue.pop() else { break };
-            self.now = planned.at;
-            self.carry_out(planned.event);
+            let Some(Reverse(scheduled)) = self.queue.pop() else { break };
+            self.now = scheduled.at;
+            self.handle_event(scheduled.event);
         }
         self.now = end;
     }
 
-    /// Runs until `reached`, looking every 10 ms; gives the milliseconds it took, and fails past `limit_ms`.
+    /// Runs until `is_reached`, looking every 10 ms; gives the milliseconds it took, and fails past `limit_ms`.
     pub fn run_until(
         &mut self,
         limit_ms: u64,
         what: &str,
-        reached: impl Fn(&Fleet) -> bool,
+        is_reached: impl Fn(&Fleet) -> bool,
     ) -> u64 {
-        let began = self.now;
-        while !reached(self) {
-            let taken = (self.now - began) / MS;
-            assert!(taken < limit_ms, "{what} within {limit_ms} ms");
+        let started_at = self.now;
+        while !is_reached(self) {
+            let elapsed_ms = (self.now - started_at) / MS;
+            assert!(elapsed_ms < limit_ms, "{what} within {limit_ms} ms");
             self.run_for(10 * MS);
         }
-        (self.now - began) / MS
+        (self.now - started_at) / MS
     }
 
-    fn plan(&mut self, at: u64, event: Event) {
-        self.planned += 1;
-        self.queue.push(Reverse(Planned { at, order: self.planned, event }));
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.scheduled_count += 1;
+        self.queue.push(Reverse(ScheduledEvent { at, order: self.scheduled_count, event }));
     }
 
-    fn carry_out(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let number = match &event {
-            Event::Round { node, .. } | Event::Check { node, .. } => *node,
-            Event::Arrive { node, .. } | Event::Stall { node } => *node,
+            Event::Round { instance, .. } | Event::Check { instance, .. } => *instance,
+            Event::Receive { instance, .. } | Event::Stall { instance } => *instance,
         };
-        let node = &self.nodes[number];
-        let is_void = match &event {
-            Event::Round { round, .. } => node.round != *round,
-            Event::Check { life, .. } => node.life != *life,
-            Event::Arrive { .. } | Event::Stall { .. } => false,
+        let instance = &self.instances[number];
+        let is_obsolete = match &event {
+            Event::Round { round, .. } => instance.round != *round,
+            Event::Check { life, .. } => instance.life != *life,
+            Event::Receive { .. } | Event::Stall { .. } => false,
         };
-        if is_void || !node.is_up {
+        if is_obsolete || !instance.is_up {
             return;
         }
-        if self.nodes[number].still_until > self.now {
-            let at = self.nodes[number].still_until;
-            self.plan(at, event);
+        if self.instances[number].suspended_until > self.now {
+            let at = self.instances[number].suspended_until;
+            self.schedule(at, event);
             return;
         }
         match event {
-            Event::Round { node, .. } => self.round(node),
-            Event::Check { node, life } => {
+            Event::Round { instance, .. } => self.round(instance),
+            Event::Check { instance, life } => {
                 let now = self.boot_now();
-                for dead in self.nodes[node].membership.check(now) {
-                    self.deaths.insert((node, dead));
+                for dead in self.instances[instance].membership.check(now) {
+                    self.deaths.insert((instance, dead));
                 }
-                self.hurry(node);
-                self.plan(self.now + CHECK_EVERY, Event::Check { node, life });
+                self.expedite_round(instance);
+                self.schedule(self.now + CHECK_INTERVAL, Event::Check { instance, life });
             }
-            Event::Stall { node } => {
-                self.nodes[node].still_until = self.now + self.random.below(LONGEST_STALL);
+            Event::Stall { instance } => {
+                self.instances[instance].suspended_until = self.now + self.random.below(MAX_STALL);
                 let at = self.now + 500 * MS + self.random.below(1000 * MS);
-                self.plan(at, Event::Stall { node });
+                self.schedule(at, Event::Stall { instance });
             }
-            Event::Arrive { node, gossip } => self.arrive(node, &gossip),
+            Event::Receive { instance, gossip } => self.receive(instance, &gossip),
         }
     }
 
     fn round(&mut self, number: usize) {
         let now = self.boot_now();
         let random = self.random.next();
-        let to = self.nodes[number].membership.begin_round(random, now);
+        let to = self.instances[number].membership.begin_round(random, now);
         for address in to {
-            let gossip = self.nodes[number].membership.gossip_for(address, now);
-            self.send(number, node::number(address), gossip);
+            let gossip = self.instances[number].membership.gossip_for(address, now);
+            self.send(number, instance::number(address), gossip);
         }
-        self.nodes[number].last_round = self.now;
-        self.nodes[number].round += 1;
-        let round = self.nodes[number].round;
+        self.instances[number].last_round = self.now;
+        self.instances[number].round += 1;
+        let round = self.instances[number].round;
         let next = self.now + HEARTBEAT_INTERVAL.as_micros() as u64;
-        self.plan(next, Event::Round { node: number, round });
-        self.hurry(number);
+        self.schedule(next, Event::Round { instance: number, round });
+        self.expedite_round(number);
     }
 
     /// Brings the next round forward if there are news.
-    fn hurry(&mut self, number: usize) {
-        if !self.nodes[number].membership.has_updates() {
+    fn expedite_round(&mut self, number: usize) {
+        if !self.instances[number].membership.has_updates() {
             return;
         }
-        let at = self.nodes[number].last_round + MIN_HEARTBEAT_INTERVAL.as_micros() as u64;
-        let round = self.nodes[number].round;
-        self.plan(at.max(self.now), Event::Round { node: number, round });
+        let at = self.instances[number].last_round + MIN_HEARTBEAT_INTERVAL.as_micros() as u64;
+        let round = self.instances[number].round;
+        self.schedule(at.max(self.now), Event::Round { instance: number, round });
     }
 
-    fn arrive(&mut self, number: usize, gossip: &Gossip) {
+    fn receive(&mut self, number: usize, gossip: &Gossip) {
         let now = self.boot_now();
-        let taken = self.nodes[number].membership.handle_gossip(gossip, now);
-        if taken.needs_answer {
-            let answer = self.nodes[number].membership.answer(gossip, now);
-            self.send(number, node::number(gossip.from.member.address), answer);
+        let outcome = self.instances[number].membership.handle_gossip(gossip, now);
+        if outcome.needs_answer {
+            let answer = self.instances[number].membership.answer(gossip, now);
+            self.send(number, instance::number(gossip.from.member.address), answer);
         }
-        if taken.has_updates {
-            self.hurry(number);
+        if outcome.has_updates {
+            self.expedite_round(number);
         }
     }
 
     fn send(&mut self, from: usize, to: usize, gossip: Gossip) {
-        let size = postcard::to_stdvec(&gossip).unwrap().len() as u64 + HEADERS;
-        let is_far = self.nodes.get(to).is_none_or(|it| it.place != self.nodes[from].place);
-        let sender = &mut self.nodes[from];
+        let size = postcard::to_stdvec(&gossip).unwrap().len() as u64 + HEADER_BYTES;
+        let is_far = self
+            .instances
+            .get(to)
+            .is_none_or(|it| it.data_centre != self.instances[from].data_centre);
+        let sender = &mut self.instances[from];
         sender.datagrams += 1;
         sender.bytes += size;
         sender.far_bytes += if is_far { size } else { 0 };
-        let Some(receiver) = self.nodes.get(to) else { return };
-        if !receiver.is_up || receiver.side != self.nodes[from].side {
+        let Some(receiver) = self.instances.get(to) else { return };
+        if !receiver.is_up || receiver.side != self.instances[from].side {
             return;
         }
         if self.random.happens(self.loss_permille) {
             return;
         }
         let delay = if is_far { FAR_DELAY } else { NEAR_DELAY };
-        self.plan(self.now + delay, Event::Arrive { node: to, gossip: Rc::new(gossip) });
+        self.schedule(self.now + delay, Event::Receive { instance: to, gossip: Rc::new(gossip) });
     }
 
     /// Numbers of the instances that run.
     pub fn up(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|it| self.nodes[*it].is_up).collect()
+        (0..self.instances.len()).filter(|it| self.instances[*it].is_up).collect()
     }
 
     /// Whether each instance that runs takes just the others that run for members.
     pub fn all_know_all(&self) -> bool {
         let up = self.up();
-        up.iter().all(|it| self.knows_just(*it, &up))
+        up.iter().all(|it| self.knows_exactly(*it, &up))
     }
 
     /// Whether instance `number` takes just `expected`, less itself, for members.
-    pub fn knows_just(&self, number: usize, expected: &[usize]) -> bool {
+    pub fn knows_exactly(&self, number: usize, expected: &[usize]) -> bool {
         let members: BTreeSet<InstanceId> =
-            self.nodes[number].membership.members().map(|it| it.id.clone()).collect();
+            self.instances[number].membership.members().map(|it| it.id.clone()).collect();
         let others = expected.iter().filter(|it| **it != number);
         others.clone().count() == members.len()
-            && others.clone().all(|it| members.contains(&node::id(*it)))
+            && others.clone().all(|it| members.contains(&instance::id(*it)))
     }
 
     /// Whether instance `number` takes `other` for a member.
-    pub fn knows(&self, number: usize, other: usize) -> bool {
-        let wanted = node::id(other);
-        self.nodes[number].membership.members().any(|it| it.id == wanted)
+    pub fn has_member(&self, number: usize, other: usize) -> bool {
+        let wanted_id = instance::id(other);
+        self.instances[number].membership.members().any(|it| it.id == wanted_id)
     }
 
     pub fn is_isolated(&self, number: usize) -> bool {
-        self.nodes[number].membership.is_isolated(self.boot_now())
+        self.instances[number].membership.is_isolated(self.boot_now())
     }
 }
--- a/crates/gullspar_membership/tests/support/node.rs
+++ b/crates/gullspar_membership/tests/support/instance.rs
@@ -13,13 +13,13 @@
     Busy,
 }
 
-pub struct Node {
+pub struct Instance {
     pub membership: Membership,
-    pub place: usize,
+    pub data_centre: usize,
     pub load: Load,
     pub is_up: bool,
     /// It stands still until then.
-    pub still_until: u64,
+    pub suspended_until: u64,
     /// Instances on different sides of a cut do not reach each other.
     pub side: u32,
     pub last_round: u64,
@@ -32,14 +32,14 @@
     pub far_bytes: u64,
 }
 
-impl Node {
-    pub fn new(number: usize, place: usize, seeds: &[SocketAddr]) -> Node {
-        Node {
-            membership: Membership::new(member(number, place), seeds.iter().copied()),
-            place,
+impl Instance {
+    pub fn new(number: usize, data_centre: usize, seeds: &[SocketAddr]) -> Instance {
+        Instance {
+            membership: Membership::new(member(number, data_centre), seeds.iter().copied()),
+            data_centre,
             load: Load::Calm,
             is_up: true,
-            still_until: 0,
+            suspended_until: 0,
             side: 0,
             last_round: 0,
             life: 0,
@@ -66,11 +66,11 @@
     usize::from(high) * 256 + usize::from(low)
 }
 
-pub fn member(number: usize, place: usize) -> Member {
+pub fn member(number: usize, data_centre: usize) -> Member {
     Member {
         id: id(number),
         address: address(number),
-        data_centre: DataCentre::new(format!("place-{place}")),
+        data_centre: DataCentre::new(format!("place-{data_centre}")),
         strength: 250,
     }
 }
--- a/crates/gullspar_membership/tests/support/mod.rs
+++ b/crates/gullspar_membership/tests/support/mod.rs
@@ -4,11 +4,11 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 mod fleet;
-mod node;
+mod instance;
 mod random;
 
 pub use fleet::Fleet;
-pub use node::Node;
+pub use instance::Instance;
 pub use random::Random;
 
 /// Milliseconds, as microseconds of the simulated clock.
