--- a/crates/gullspar_membership/src/gossip.rs
+++ b/crates/gullspar_membership/src/gossip.rs
@@ -1,22 +1,22 @@
-//! What a heartbeat tells of the fleet.
+//! The membership part of a heartbeat.
 
 use gullspar_model::record;
 
 use crate::{LinkCounts, MemberRecord};
 
 record! {
-    /// The part of a heartbeat that tells who is there.
+    /// Membership state and updates that a heartbeat carries.
     pub struct Gossip {
         /// The sender.
         pub from: MemberRecord,
-        /// Over all instances that the sender takes for alive, to see whether two views agree.
+        /// Digest of all instances that the sender considers alive; it differs if the views differ.
         pub digest: u64,
-        /// Instances that count in majorities, as the sender knows.
+        /// Number of instances that the sender counts in majorities.
         pub counted: u32,
-        /// Which of its contacts the sender hears.
+        /// How many of its contacts are responsive.
         pub links: LinkCounts,
         pub updates: Vec<MemberRecord>,
-        /// The sender takes the receiver for a contact, or tries an address, and needs to hear from it.
+        /// Whether the sender needs an answer, since the receiver is its contact or is probed.
         pub expects_answer: bool,
     }
 }
--- a/crates/gullspar_membership/src/lib.rs
+++ b/crates/gullspar_membership/src/lib.rs
@@ -1,7 +1,8 @@
-//! Which instances there are, and which of them this one reaches.
+//! Membership of the fleet: which instances there are and which of them this one can reach.
 //!
-//! What an instance sends, and how soon it notices a death or a cut, does not depend on how many instances there
-//! are; see `docs/design/membership.md`. Nothing here does input or output: the caller sends and receives.
+//! The traffic of an instance and the time to detect a death or a partition do not depend on the
+//! size of the fleet; see `docs/design/membership.md`. This crate does no input or output; its user
+//! sends and receives the messages.
 
 mod gossip;
 mod link;
--- a/crates/gullspar_membership/src/link.rs
+++ b/crates/gullspar_membership/src/link.rs
@@ -1,4 +1,4 @@
-//! One contact of this instance.
+//! The link to one contact.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,20 +8,21 @@
 use crate::timing::UNREACHABLE_AFTER;
 use crate::{LinkCounts, Proximity};
 
-/// A contact: an instance that gets each heartbeat and is expected to send as many.
+/// The link to a contact, which receives each heartbeat and is expected to send its own.
 #[derive(Debug)]
 pub(crate) struct Link {
     pub(crate) address: SocketAddr,
     pub(crate) proximity: Proximity,
-    /// Since when it was silent: when it was last heard, became a contact, or this instance stood still.
+    /// Start of the current silence: the last heartbeat received, the selection as a contact, or a
+    /// later time after a pause of this instance.
     pub(crate) silent_since: BootInstant,
     pub(crate) has_responded: bool,
-    /// It was suspected since it was last heard. If it objected, it is reached by others, and suspecting it again and
-    /// again would only make it object again and again.
+    /// It was suspected since the last heartbeat received from it. If it refuted that, others reach
+    /// it, and suspecting it repeatedly would only cause more refutations.
     pub(crate) was_suspected: bool,
-    /// Which of its own contacts it said that it hears.
+    /// The counts of its own contacts that it reported.
     pub(crate) reported: LinkCounts,
-    /// It believes other instances to be there than this one.
+    /// Its view of the members differs from this instance's.
     pub(crate) has_different_view: bool,
 }
 
@@ -42,7 +43,7 @@
         now.since(self.silent_since) >= UNREACHABLE_AFTER
     }
 
-    /// This instance stood still for `paused_for`, and heard nobody meanwhile.
+    /// Discounts the time for which this instance itself was paused and could receive nothing.
     pub(crate) fn discount_pause(&mut self, paused_for: Duration, now: BootInstant) {
         self.silent_since = self.silent_since.plus(paused_for).min(now);
     }
--- a/crates/gullspar_membership/src/link_counts.rs
+++ b/crates/gullspar_membership/src/link_counts.rs
@@ -1,4 +1,4 @@
-//! How many of its contacts an instance hears.
+//! Numbers of responsive contacts.
 
 use std::ops::AddAssign;
 
@@ -7,17 +7,17 @@
 use crate::Proximity;
 
 record! {
-    /// Contacts of one class.
+    /// Numbers of near or of far contacts.
     #[derive(Copy, Default)]
     pub struct Tally {
         pub responsive: u32,
-        /// Those heard and those silent; one that was met a moment ago is neither.
+        /// Responsive and silent contacts; new contacts are neither.
         pub known: u32,
     }
 }
 
 record! {
-    /// Contacts of an instance that it hears, by class.
+    /// Numbers of an instance's contacts by proximity.
     #[derive(Copy, Default)]
     pub struct LinkCounts {
         pub near: Tally,
@@ -40,7 +40,7 @@
 }
 
 impl LinkCounts {
-    /// Contacts of either class that are heard.
+    /// Number of responsive contacts, near and far.
     pub(crate) fn responsive(&self) -> usize {
         (self.near.responsive + self.far.responsive) as usize
     }
--- a/crates/gullspar_membership/src/links.rs
+++ b/crates/gullspar_membership/src/links.rs
@@ -1,4 +1,4 @@
-//! The contacts of this instance, and which of them it hears.
+//! The links of this instance to its contacts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,17 +10,18 @@
 use crate::link::Link;
 use crate::{LinkCounts, Member, Proximity, rings};
 
-/// All contacts.
+/// The links to all contacts.
 #[derive(Debug, Default)]
 pub(crate) struct Links {
     by_id: BTreeMap<InstanceId, Link>,
 }
 
 impl Links {
-    /// Makes the right ones of `others` contacts.
+    /// Selects the contacts among `others`.
     ///
-    /// Contacts of a class stay while most of that class are silent, here and by what other contacts tell: their silence
-    /// is what tells this instance that it is cut off, and they are the first to answer when it no longer is.
+    /// While most near or far contacts are silent, here and by the reports of other contacts, the
+    /// existing ones of that kind are kept. Their silence shows that this instance is partitioned,
+    /// and they are the first to answer afterwards.
     pub(crate) fn choose(&mut self, own: &Member, others: &[&Member], now: BootInstant) {
         let contacts = rings::contacts(own, others);
         let counts = self.combined_counts(now);
@@ -48,12 +49,12 @@
         self.by_id.contains_key(id)
     }
 
-    /// Whether any contact is kept although `is_dead`.
+    /// Whether any contact satisfies `is_dead`.
     pub(crate) fn has_any(&self, is_dead: impl Fn(&InstanceId) -> bool) -> bool {
         self.by_id.keys().any(is_dead)
     }
 
-    /// Drops contacts that were kept for their silence and are past; tells whether there were any.
+    /// Drops contacts that satisfy `is_expired`; returns whether there were any.
     pub(crate) fn drop_expired(&mut self, is_expired: impl Fn(&InstanceId) -> bool) -> bool {
         let before = self.by_id.len();
         self.by_id.retain(|id, _| !is_expired(id));
@@ -64,18 +65,18 @@
         self.by_id.values().map(|it| it.address).collect()
     }
 
-    /// The contact at `address`.
+    /// The contact with this address.
     pub(crate) fn id_at(&self, address: SocketAddr) -> Option<InstanceId> {
         self.by_id.iter().find(|(_, it)| it.address == address).map(|(id, _)| id.clone())
     }
 
-    /// Whether a contact believes other instances to be there than this one.
+    /// Whether a contact's view of the members differs from this instance's.
     pub(crate) fn has_different_view(&self, id: &InstanceId) -> bool {
         self.by_id.get(id).is_some_and(|it| it.has_different_view)
     }
 
-    /// Contacts that are silent and were not suspected for it yet; they are from now on.
-    pub(crate) fn mark_silent(&mut self, now: BootInstant) -> BTreeSet<InstanceId> {
+    /// Marks silent contacts as suspected; returns those that were not marked yet.
+    pub(crate) fn suspect_silent(&mut self, now: BootInstant) -> BTreeSet<InstanceId> {
         let is_newly_silent = |it: &Link| it.is_silent(now) && !it.was_suspected;
         let suspects = self.by_id.iter_mut().filter(|(_, it)| is_newly_silent(it));
         suspects
@@ -90,7 +91,7 @@
         self.by_id.values_mut().for_each(|it| it.discount_pause(paused_for, now));
     }
 
-    /// Which contacts this instance hears.
+    /// The counts of this instance's own contacts.
     pub(crate) fn counts(&self, now: BootInstant) -> LinkCounts {
         let mut counts = LinkCounts::default();
         for link in self.by_id.values() {
@@ -102,9 +103,9 @@
         counts
     }
 
-    /// What this instance and the contacts that it hears say together.
+    /// The counts of this instance's contacts and, as they report them, of their contacts.
     ///
-    /// A handful of contacts is too few to tell a cut from a few deaths; theirs together are a sample of the fleet.
+    /// A handful of contacts is too small a sample to distinguish a partition from a few deaths.
     pub(crate) fn combined_counts(&self, now: BootInstant) -> LinkCounts {
         let mut counts = self.counts(now);
         for link in self.by_id.values().filter(|it| it.has_responded && !it.is_silent(now)) {
--- a/crates/gullspar_membership/src/member.rs
+++ b/crates/gullspar_membership/src/member.rs
@@ -1,4 +1,4 @@
-//! Another instance, as far as placing work needs to know it.
+//! The data about an instance that work distribution needs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,18 +6,18 @@
 use gullspar_model::{DataCentre, InstanceId, record};
 
 record! {
-    /// An instance that takes work.
+    /// An instance of the fleet.
     pub struct Member {
         pub id: InstanceId,
-        /// Where other instances reach it.
+        /// Address at which other instances reach it.
         pub address: SocketAddr,
         pub data_centre: DataCentre,
-        /// Its processor, in thousandths of a core.
+        /// Its processor capacity, in thousandths of a core.
         pub strength: u32,
     }
 }
 
-/// `members` by the data centre that they are in.
+/// Groups `members` by data centre.
 pub fn by_data_centre<'a>(
     members: impl IntoIterator<Item = &'a Member>,
 ) -> BTreeMap<&'a DataCentre, Vec<&'a Member>> {
--- a/crates/gullspar_membership/src/member_record.rs
+++ b/crates/gullspar_membership/src/member_record.rs
@@ -1,45 +1,48 @@
-//! What instances tell each other of one instance.
+//! The record of an instance that other instances exchange.
 
 use gullspar_model::record;
 
 use crate::Member;
 
 gullspar_model::value! {
-    /// Whether an instance answers.
+    /// The liveness of an instance.
     pub enum MemberState {
         Alive,
-        /// A contact did not hear it; it is dead unless it objects in time.
+        /// A contact received nothing from it; it is declared dead unless it refutes this in time.
         Suspect,
         Dead,
     }
 }
 
 record! {
-    /// One instance as others believe it to be; the higher incarnation wins, then the worse state.
+    /// The state of an instance as known to others. The higher incarnation has precedence, then the
+    /// worse state.
     pub struct MemberRecord {
         pub member: Member,
-        /// Raised by the instance itself, to object or to tell of a change.
+        /// Raised by the instance itself to refute a suspicion or to announce a change.
         pub incarnation: u32,
-        /// It finishes what it has and takes nothing new.
+        /// It finishes its current work and accepts no new work.
         pub leaving: bool,
         pub state: MemberState,
-        /// How long it has been in this state, so that passing a record on makes a death no younger.
+        /// Age of the state in milliseconds, so that forwarding a record does not make a death
+        /// younger.
         pub state_age_ms: u32,
-        /// How often a contact heard the suspect again, each time giving it anew the time to object.
+        /// How often a contact received something from the suspect and renewed its time to refute.
         ///
-        /// Counted, since the age of a record that waits before a busy instance looks younger than it is: by ages, an
-        /// instance that is dead could be given more time for ever.
+        /// Renewals are compared by this count, not by age: a record that waits at a busy instance
+        /// looks younger than it is, and the time of a dead instance could be extended forever.
         pub renewals: u32,
     }
 }
 
 impl MemberRecord {
-    /// Whether this record says something newer than `other` about the same instance.
+    /// Whether this record replaces `other` about the same instance.
     pub(crate) fn has_precedence_over(&self, other: &MemberRecord) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
 
-    /// What two instances must agree on: who is there, not how sure they are.
+    /// A hash of what instances must agree on: the member, its incarnation and whether it is
+    /// leaving, but not its liveness state.
     pub(crate) fn digest(&self) -> u64 {
         let seed = u64::from(self.incarnation) << 1 | u64::from(self.leaving);
         xxhash_rust::xxh3::xxh3_64_with_seed(self.member.id.as_str().as_bytes(), seed)
--- a/crates/gullspar_membership/src/member_table.rs
+++ b/crates/gullspar_membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! What this instance believes of all others.
+//! The table of the other instances' records.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,9 +16,9 @@
 #[derive(Debug)]
 struct Entry {
     record: MemberRecord,
-    /// Since when it is in its state.
+    /// Since when the instance is in its state.
     since: BootInstant,
-    /// Rounds of heartbeats that still pass it on.
+    /// Number of heartbeat rounds that still send the record.
     rounds_left: u32,
 }
 
@@ -31,28 +31,28 @@
         !self.record.leaving && (self.is_alive() || now.since(self.since) < DEAD_COUNTED_PERIOD)
     }
 
-    /// The record, with the time that it has been in its state.
+    /// The record with the current age of its state.
     fn record_to_send(&self, now: BootInstant) -> MemberRecord {
         let state_age_ms = now.since(self.since).as_millis().try_into().unwrap_or(u32::MAX);
         MemberRecord { state_age_ms, ..self.record.clone() }
     }
 }
 
-/// Instances of one class that are alive; kept up to date, since they are asked for at each request.
+/// Numbers of live instances, near or far; kept up to date, since they are read for each request.
 #[derive(Clone, Copy, Debug, Default)]
 struct LiveCounts {
     all: usize,
     staying: usize,
 }
 
-/// Beliefs about all other instances that were ever heard of.
+/// The records of all other known instances.
 #[derive(Debug)]
 pub(crate) struct MemberTable {
     own_data_centre: DataCentre,
     entries: BTreeMap<InstanceId, Entry>,
-    /// Those that are passed on.
+    /// Instances whose records are waiting to be sent.
     pending: BTreeSet<InstanceId>,
-    /// Those that are suspected.
+    /// Suspected instances.
     suspects: BTreeSet<InstanceId>,
     dead: BTreeSet<InstanceId>,
     near: LiveCounts,
@@ -63,7 +63,7 @@
 }
 
 impl MemberTable {
-    /// A roster as kept in `own_data_centre` by an instance that has heard of nobody.
+    /// Creates an empty table for an instance in `own_data_centre`.
     pub(crate) fn new(own_data_centre: DataCentre) -> MemberTable {
         MemberTable {
             own_data_centre,
@@ -79,10 +79,10 @@
         }
     }
 
-    /// Believes `record` if it is news; tells whether it was.
+    /// Applies `record` if it is newer than the known one; returns whether it changed the table.
     ///
-    /// The death of one that is not known is news only while it counts: told on for ever, the dead of years would fill
-    /// the memory of all.
+    /// A record of an unknown dead instance is ignored once the instance is no longer counted.
+    /// Otherwise, such records would circulate forever.
     pub(crate) fn apply_record(&mut self, record: &MemberRecord, now: BootInstant) -> bool {
         let id = &record.member.id;
         let age = Duration::from_millis(u64::from(record.state_age_ms));
@@ -115,9 +115,11 @@
         true
     }
 
-    /// Gives a suspect more time if it was heard elsewhere later than was known here; tells whether it was.
+    /// Gives a suspect more time if another contact has received something from it since; returns
+    /// whether it did.
     ///
-    /// A busy instance may be heard by one contact and take longer to object than all others wait.
+    /// A busy instance may still send to one contact, but take longer to refute the suspicion than
+    /// the other instances wait.
     fn extend_suspicion(&mut self, record: &MemberRecord, received_at: BootInstant) -> bool {
         let id = &record.member.id;
         let Some(entry) = self.entries.get_mut(id) else { return false };
@@ -134,8 +136,9 @@
         true
     }
 
-    /// Passes the death of an instance on again that others still take for alive: it objects if it lives, and if not, they
-    /// apply_record of it. Two halves of a fleet that were cut apart for long find together again by this.
+    /// Sends the death of an instance again when `record` shows that others consider it alive. If
+    /// it is alive, it refutes the death; otherwise, the others learn of it. This merges the two
+    /// sides of a long partition.
     fn readvertise_death(&mut self, record: &MemberRecord) {
         let Some(known) = self.entries.get_mut(&record.member.id) else { return };
         if record.state == MemberState::Alive && known.record.state == MemberState::Dead {
@@ -177,7 +180,7 @@
         self.dead.iter().filter_map(|it| self.entries.get(it))
     }
 
-    /// Suspects `id`, if it is believed to be alive.
+    /// Suspects `id` if it is alive.
     pub(crate) fn suspect(&mut self, id: &InstanceId, now: BootInstant) -> bool {
         self.set_state(id, MemberState::Suspect, now)
     }
@@ -188,7 +191,7 @@
         self.apply_record(&record, now)
     }
 
-    /// Declares dead whoever stayed suspect for too long, and forgets who has been dead for long; the former are given.
+    /// Declares suspects dead whose time to refute is over, and returns them.
     pub(crate) fn expire_suspects(&mut self, now: BootInstant) -> Vec<InstanceId> {
         let is_due = |id: &&InstanceId| {
             self.entries.get(*id).is_some_and(|it| now.since(it.since) >= SUSPECT_TIMEOUT)
@@ -200,7 +203,7 @@
         dead
     }
 
-    /// Forgets who has been dead for long.
+    /// Removes instances that have been dead for [`FORGET_DEAD_AFTER`].
     pub(crate) fn forget_dead(&mut self, now: BootInstant) {
         let expired_entries =
             self.dead_entries().filter(|it| now.since(it.since) >= FORGET_DEAD_AFTER);
@@ -209,7 +212,8 @@
         expired.iter().for_each(|it| self.forget(it));
     }
 
-    /// This instance stood still for `paused_for`: suspects get that much more time to object.
+    /// Gives suspects additional time to refute after this instance itself was paused for
+    /// `paused_for`.
     pub(crate) fn discount_pause(&mut self, paused_for: Duration, now: BootInstant) {
         for id in &self.suspects {
             if let Some(entry) = self.entries.get_mut(id) {
@@ -218,8 +222,9 @@
         }
     }
 
-    /// A suspect was heard here, and has as much time to object as if it were suspected now: it was busy, and learns of
-    /// the suspicion by the answer. Others are told, so that they wait as long.
+    /// Restarts a suspect's time to refute after something was received from it. It was busy and
+    /// learns of the suspicion from the answer. The renewal is sent to others, so that they wait as
+    /// long.
     pub(crate) fn renew_suspect(&mut self, id: &InstanceId, now: BootInstant) {
         if !self.suspects.contains(id) {
             return;
@@ -237,12 +242,12 @@
         self.entries.get(id).map(|it| &it.record)
     }
 
-    /// The record of `id` to tell others.
+    /// The record of `id`, as sent to other instances.
     pub(crate) fn record_to_send(&self, id: &InstanceId, now: BootInstant) -> Option<MemberRecord> {
         self.entries.get(id).map(|it| it.record_to_send(now))
     }
 
-    /// All that are believed to be alive, those that leave or are suspected included.
+    /// All instances that are alive, including suspects and those that are leaving.
     pub(crate) fn alive(&self) -> impl Iterator<Item = &MemberRecord> {
         self.entries.values().filter(|it| it.is_alive()).map(|it| &it.record)
     }
@@ -251,17 +256,17 @@
         self.dead_entries().map(|it| &it.record)
     }
 
-    /// Whether nobody else is believed to be alive.
+    /// Whether no other instance is alive.
     pub(crate) fn is_alone(&self) -> bool {
         self.near.all + self.far.all == 0
     }
 
-    /// Others that count in majorities.
+    /// Number of other instances that are counted in majorities.
     pub(crate) fn counted(&self, now: BootInstant) -> usize {
         self.population(Proximity::Near, now).counted + self.population(Proximity::Far, now).counted
     }
 
-    /// Others of one class.
+    /// The other instances that are near or far.
     pub(crate) fn population(&self, proximity: Proximity, now: BootInstant) -> Population {
         let live_counts = match proximity {
             Proximity::Near => self.near,
@@ -272,7 +277,7 @@
         Population { alive: live_counts.all, counted: live_counts.staying + dead }
     }
 
-    /// Others, by data centre.
+    /// The other counted instances by data centre.
     pub(crate) fn counted_by_data_centre(
         &self,
         now: BootInstant,
@@ -290,12 +295,12 @@
         self.dead.contains(id)
     }
 
-    /// Whether `id` is dead and counts no more.
+    /// Whether `id` is unknown, or dead and no longer counted.
     pub(crate) fn is_expired(&self, id: &InstanceId, now: BootInstant) -> bool {
         self.entries.get(id).is_none_or(|it| !it.is_alive() && !it.is_counted(now))
     }
 
-    /// Changes whenever anything that is believed does.
+    /// A number that changes whenever a record does.
     pub(crate) fn generation(&self) -> u64 {
         self.generation
     }
@@ -308,7 +313,7 @@
         !self.pending.is_empty()
     }
 
-    /// Records that the heartbeats of one round pass on, those passed on least first.
+    /// The updates to send in the next round; records that were sent least often come first.
     pub(crate) fn next_updates(&mut self, now: BootInstant) -> Vec<MemberRecord> {
         let rounds_left = |id: &InstanceId| self.entries.get(id).map_or(0, |it| it.rounds_left);
         let mut pending: Vec<InstanceId> = self.pending.iter().cloned().collect();
@@ -326,7 +331,7 @@
         updates
     }
 
-    /// Some records, others each time, until all were given.
+    /// Up to `count` records, cycling through the table over several calls.
     pub(crate) fn next_sync_records(
         &mut self,
         count: usize,
--- a/crates/gullspar_membership/src/membership.rs
+++ b/crates/gullspar_membership/src/membership.rs
@@ -10,51 +10,52 @@
 use crate::member_table::MemberTable;
 use crate::timing::{
     JOIN_FANOUT, MAX_ANSWER_RECORDS, MAX_FULL_MESH_PEERS, MAX_PROBE_TRIES, MAX_SYNC_RECORDS,
-    PROBE_FANOUT, REVIVE_ROUND_INTERVAL, STALLED_AFTER,
+    PAUSE_DETECTED_AFTER, PROBE_FANOUT, REVIVE_ROUND_INTERVAL,
 };
 use crate::{Gossip, Member, MemberRecord, MemberState, Proximity};
 
 /// What became of a heartbeat that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GossipOutcome {
-    /// It said something new that others should hear soon.
+    /// The gossip contained updates that other instances should receive soon.
     pub has_updates: bool,
-    /// The sender expects an answer, for which see [`Membership::answer`].
+    /// The sender expects the answer that [`Membership::answer`] returns.
     pub needs_answer: bool,
 }
 
-/// An address where an instance may be.
+/// An address where an instance may run.
 #[derive(Debug)]
 struct ProbeAddress {
     tries: u32,
-    /// It stands in the settings and is never dropped.
+    /// The address is from the settings and is never dropped.
     is_seed: bool,
 }
 
-/// The other instances as this one knows them, and the heartbeats that it sends.
+/// One instance's view of the fleet's membership, and the gossip that it sends.
 ///
-/// An instance hears its contacts only. One that falls silent is suspected, all are told, and it is dead unless it
-/// objects, which it does if anybody hears it.
+/// An instance exchanges heartbeats with its contacts only. A contact that falls silent is
+/// suspected, the suspicion is spread to all, and the suspect is declared dead unless it refutes
+/// the suspicion in time.
 #[derive(Debug)]
 pub struct Membership {
     own: MemberRecord,
     table: MemberTable,
     links: Links,
-    /// The generation of the roster that the links were chosen for.
+    /// The generation of the member table that the links were chosen for.
     links_generation: Option<u64>,
     probe_addresses: BTreeMap<SocketAddr, ProbeAddress>,
-    /// What the heartbeats of the present round pass on.
+    /// The updates that are sent with the heartbeats of the current round.
     round_updates: Vec<MemberRecord>,
-    /// Addresses beside those of contacts that get a heartbeat in the present round.
+    /// Addresses that are probed in the current round, in addition to the contacts.
     probed: Vec<SocketAddr>,
     rounds: u64,
-    /// Instances that counted when the present round began.
+    /// Number of counted instances when the current round began.
     counted: usize,
     checked_at: Option<BootInstant>,
 }
 
 impl Membership {
-    /// A membership of `own` alone, which will ask at `seeds` for others.
+    /// Creates a membership that contains only `own` and probes `seeds` for other instances.
     pub fn new(own: Member, seeds: impl IntoIterator<Item = SocketAddr>) -> Membership {
         let own = MemberRecord {
             member: own,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Adds an address where an instance may be.
+    /// Adds an address where an instance may run, to be probed.
     pub fn add_probe_address(&mut self, address: SocketAddr) {
         let entry = self
             .probe_addresses
@@ -88,7 +89,7 @@
         entry.tries = 0;
     }
 
-    /// Announces whether this instance takes no new work.
+    /// Announces whether this instance refuses new work.
     pub fn set_leaving(&mut self, leaving: bool) {
         if self.own.leaving != leaving {
             self.own.leaving = leaving;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Begins a round of heartbeats; gives whom to send one.
+    /// Begins a round of heartbeats; returns the addresses to send one to.
     pub fn begin_round(&mut self, random: u64, now: BootInstant) -> Vec<SocketAddr> {
         self.rounds += 1;
         self.counted = self.counted(now);
@@ -126,7 +127,7 @@
         self.links.choose(&self.own.member, &others, now);
     }
 
-    /// Addresses to try that nobody is known to be at.
+    /// Addresses to probe in this round, at which no instance is known.
     fn addresses_to_probe(&mut self, random: u64) -> Vec<SocketAddr> {
         let is_alone = self.table.is_alone();
         let fanout = if is_alone { JOIN_FANOUT } else { PROBE_FANOUT };
@@ -145,7 +146,7 @@
             .collect()
     }
 
-    /// Believes a record of another instance if it is news; tells whether it was.
+    /// Applies a record of another instance; returns whether the record changed the member table.
     fn apply_record(&mut self, record: &MemberRecord, now: BootInstant) -> bool {
         let is_newer = self.table.apply_record(record, now);
         let address = &record.member.address;
@@ -155,7 +156,7 @@
         is_newer
     }
 
-    /// A dead instance or an address of the settings, by turns.
+    /// The address of a dead instance, or a seed; chosen by `random`.
     fn address_to_revive(&self, random: u64) -> Option<SocketAddr> {
         let dead = self.table.dead().map(|it| it.member.address);
         let seeds =
@@ -164,9 +165,8 @@
         all.get((random as usize).checked_rem(all.len())?).copied()
     }
 
-    /// What the heartbeat of this round to the instance at `to` tells.
-    ///
-    /// It may be sent to others than those that [`Membership::begin_round`] gave.
+    /// The gossip of this round's heartbeat to the instance at `to`, which need not be among the
+    /// addresses that [`Membership::begin_round`] returned.
     pub fn gossip_for(&mut self, to: SocketAddr, now: BootInstant) -> Gossip {
         let mut updates = self.round_updates.clone();
         let contact = self.links.id_at(to);
@@ -179,7 +179,7 @@
         self.gossip(updates, contact.is_some() || is_probed, now)
     }
 
-    /// What to answer the sender of `gossip`: it is no contact, or does not know what is believed of it.
+    /// The answer to `gossip` whose sender is not a contact or has an outdated record of itself.
     pub fn answer(&mut self, gossip: &Gossip, now: BootInstant) -> Gossip {
         let from = &gossip.from;
         let known_record = self.table.record_to_send(&from.member.id, now);
@@ -202,9 +202,9 @@
         }
     }
 
-    /// Whether the sender knows others than this instance does.
+    /// Whether the sender's view of the members differs from this instance's.
     fn has_different_view(&self, gossip: &Gossip) -> bool {
-        // One that has just started may know of all that live, and of none that died.
+        // An instance that has just started may know all that are alive, but none of the dead.
         gossip.digest != self.digest() || (gossip.counted as usize) < self.counted
     }
 
@@ -212,7 +212,7 @@
         self.table.digest() ^ self.own.digest()
     }
 
-    /// Takes what another instance told.
+    /// Applies the gossip of another instance.
     pub fn handle_gossip(&mut self, gossip: &Gossip, now: BootInstant) -> GossipOutcome {
         let from = &gossip.from;
         if from.member.id == self.own.member.id {
@@ -241,9 +241,10 @@
         GossipOutcome { has_updates, needs_answer }
     }
 
-    /// Objects when others believe something else of this instance than it knows; tells whether it did.
+    /// Raises the own incarnation if others have a wrong record of this instance; returns whether
+    /// they had.
     ///
-    /// One that was started anew under its name is still believed to be what it was before.
+    /// After a restart, others may still have the record of the previous process.
     fn refute(&mut self, record: &MemberRecord) -> bool {
         let own = &mut self.own;
         let is_accurate = record.state == MemberState::Alive
@@ -257,29 +258,30 @@
         should_refute
     }
 
-    /// Looks who has fallen silent or did not object; gives those that are dead now.
+    /// Suspects silent contacts and expires suspects; returns the instances that are now declared
+    /// dead.
     ///
-    /// To be called several times between two heartbeats.
+    /// It must be called several times per heartbeat interval.
     pub fn check(&mut self, now: BootInstant) -> Vec<InstanceId> {
         let paused_for = self.checked_at.map(|it| now.since(it)).unwrap_or_default();
         self.checked_at = Some(now);
-        if paused_for >= STALLED_AFTER {
+        if paused_for >= PAUSE_DETECTED_AFTER {
             self.links.discount_pause(paused_for, now);
             self.table.discount_pause(paused_for, now);
         }
-        for id in self.links.mark_silent(now) {
+        for id in self.links.suspect_silent(now) {
             self.table.suspect(&id, now);
         }
         self.table.forget_dead(now);
         self.table.expire_suspects(now)
     }
 
-    /// Whether something waits to be passed on, so that the next round should not wait for its time.
+    /// Whether updates are pending, so that the next round should start early.
     pub fn has_updates(&self) -> bool {
         self.table.has_updates()
     }
 
-    /// Changes whenever anything that is believed of others does.
+    /// A number that changes whenever the record of another instance does.
     pub fn generation(&self) -> u64 {
         self.table.generation()
     }
@@ -289,23 +291,23 @@
         self.table.alive().filter(|it| !it.leaving).map(|it| &it.member)
     }
 
-    /// The other instances that are alive, those on their way out included.
+    /// The other instances that are alive, including those that are leaving.
     pub fn running(&self) -> impl Iterator<Item = &Member> {
         self.table.alive().map(|it| &it.member)
     }
 
-    /// Whether anything was ever heard of `id`.
+    /// Whether this instance has a record of `id`.
     pub fn is_known(&self, id: &InstanceId) -> bool {
         self.table.get(id).is_some()
     }
 
-    /// Instances that count in majorities, this one included.
+    /// Number of instances that are counted in majorities, this one included.
     pub fn counted(&self, now: BootInstant) -> usize {
         1 + self.table.counted(now)
     }
 
-    /// The part of the instances that count, in percent, that is in data centres of which any other is believed to be
-    /// alive, or in the own one.
+    /// Percentage of the counted instances that are in this instance's data centre or in one where
+    /// at least one other instance is alive.
     pub fn reachable_percent(&self, now: BootInstant) -> u32 {
         let own = &self.own.member.data_centre;
         let by_data_centre = self.table.counted_by_data_centre(now);
@@ -316,11 +318,11 @@
         (100 * reached / counted) as u32
     }
 
-    /// Whether most of the instances that count are out of this one's reach.
+    /// Whether this instance can't reach most of the counted instances.
     ///
-    /// Deaths become known one by one, and an instance behind a cut hears of none of those that no contact of its side
-    /// watches over. So the contacts stand for the fleet: the part of them that is silent is the part that can't be
-    /// reached.
+    /// It is estimated from the share of silent contacts. The known deaths are no measure during a
+    /// partition: an instance does not learn of the deaths that only contacts on the other side can
+    /// detect.
     pub fn is_isolated(&self, now: BootInstant) -> bool {
         let counted = self.counted(now);
         let reached = if counted <= 1 + MAX_FULL_MESH_PEERS {
--- a/crates/gullspar_membership/src/population.rs
+++ b/crates/gullspar_membership/src/population.rs
@@ -1,21 +1,22 @@
-//! How many instances of one class there are.
+//! Number of near or far instances.
 
 use crate::Tally;
 
-/// Instances of one class.
+/// Numbers of near or of far instances.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Population {
-    /// Those believed to be alive.
+    /// Instances that are alive.
     pub(crate) alive: usize,
-    /// Those that count in majorities, some of the dead included.
+    /// Instances that are counted in majorities, including some dead ones.
     pub(crate) counted: usize,
 }
 
 impl Population {
-    /// Those that are in reach, where `links` stand for all.
+    /// Estimates the number of reachable instances, with `links` as a sample.
     ///
-    /// Soon after a cut nobody is known to be dead, and the silence of contacts tells how many are out of reach. Later
-    /// the dead are known, and contacts that died have been replaced by others.
+    /// Right after a partition no deaths are known, so the share of silent contacts is the better
+    /// estimate. Later, silent contacts have been replaced, and the number of live instances is the
+    /// limit.
     pub(crate) fn estimate_reachable(self, links: Tally) -> usize {
         let by_links = match links.known {
             0 => self.counted,
--- a/crates/gullspar_membership/src/proximity.rs
+++ b/crates/gullspar_membership/src/proximity.rs
@@ -1,7 +1,7 @@
-//! Near and far instances.
+//! Distinction between near and far instances.
 
 gullspar_model::value! {
-    /// Where another instance is, seen from this one.
+    /// Location of another instance relative to this one.
     pub enum Proximity {
         /// In the same data centre.
         Near,
--- a/crates/gullspar_membership/src/rings.rs
+++ b/crates/gullspar_membership/src/rings.rs
@@ -1,8 +1,9 @@
-//! Which instances are contacts of which.
+//! Selection of each instance's contacts.
 //!
-//! Instances stand on a few rings, each in another order, and are contacts of their neighbours there. All that agree on
-//! who is there agree on the rings, so that being a contact is mutual; each instance has as many contacts, and as many
-//! that watch over it, whatever the size of the fleet; and news reach all in a few steps, since the rings mix.
+//! Instances are arranged on a few rings, each in a different order, and are contacts of their
+//! neighbours. Instances with the same member list compute the same rings, so contacts are mutual.
+//! The number of contacts does not grow with the fleet, and updates reach all instances in a few
+//! steps.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +14,7 @@
 use crate::member;
 use crate::timing::{FAR_RINGS, MAX_FULL_MESH_PEERS, NEAR_RINGS};
 
-/// Told apart from the seeds of near rings.
+/// Keeps the seeds of far rings distinct from those of near rings.
 const FAR_SEED: u64 = 1 << 32;
 
 /// The contacts of `own` among `others`.
@@ -39,7 +40,8 @@
     ring
 }
 
-/// All members, those of each data centre spread evenly over the ring, so that most neighbours are of different ones.
+/// All members in ring order. Members of each data centre are spread evenly over the ring, so that
+/// most neighbours are in different data centres.
 fn interleave_data_centres<'a>(members: &[&'a Member], seed: u64) -> Vec<&'a Member> {
     let mut ring: Vec<(u64, &Member)> = Vec::with_capacity(members.len());
     for (data_centre, near) in member::by_data_centre(members.iter().copied()) {
--- a/crates/gullspar_membership/tests/fleet.rs
+++ b/crates/gullspar_membership/tests/fleet.rs
@@ -1,6 +1,8 @@
-//! How soon a fleet notices, at sizes from a handful to two thousand instances alike.
+//! Simulated fleets from 9 to 2169 instances: detection times and traffic must not grow with the
+//! size.
 //!
-//! The larger sizes take minutes without optimization: `cargo test --release -p gullspar_membership -- --ignored`.
+//! The larger sizes take minutes without optimization:
+//! `cargo test --release -p gullspar_membership -- --ignored`.
 
 mod support;
 
@@ -9,16 +11,16 @@
 use support::{Fleet, MS, S};
 use test_case::test_case;
 
-/// An instance that stops, starts or leaves is known to all within this time, in milliseconds.
+/// Within this time, all instances know of an instance that stops, starts or leaves.
 const MAX_NOTICE_MS: u64 = 1500;
 
-/// An instance behind a cut knows that it is within this time, in milliseconds.
+/// Within this time, partitioned instances are isolated.
 const MAX_ISOLATION_MS: u64 = 1000;
 
-/// A fleet whose cut is over, and one that starts together, is whole again within this time, in milliseconds.
+/// Within this time after a partition or a common start, all instances know all others.
 const MAX_CONVERGENCE_MS: u64 = 3000;
 
-/// Instances of the simulated fleets fail in this many data centres.
+/// Maximum number of data centres of a simulated fleet.
 const DATA_CENTRES: usize = 6;
 
 const LOSS_PERMILLE: u64 = 10;
@@ -29,20 +31,19 @@
     fleet
 }
 
-/// Has something happen to a fleet, with three seeds, and sees how soon all know of it.
+/// Changes a fleet, with three seeds, and asserts that all instances know the result in time.
 fn assert_noticed_in_time(size: usize, what: &str, change: impl Fn(&mut Fleet)) {
     for seed in 1..=3 {
         let mut fleet = fleet(size, seed);
         change(&mut fleet);
-        let what = format!("{size} instances, seed {seed}: {what} is known to all");
+        let what = format!("{size} instances, seed {seed}: {what} is known to all instances");
         let elapsed_ms = fleet.run_until(MAX_NOTICE_MS, &what, Fleet::all_know_all);
         println!("{what} after {elapsed_ms} ms");
     }
 }
 
-/// Symptom: sessions are handed on to a dead instance for seconds, the longer the larger the fleet.
-/// Events: an instance stops without a word.
-/// Cause: each instance heard each other one by turns, so that silence meant something only after several turns.
+/// Guards against a detection time that grows with the fleet: sessions would be forwarded to a dead
+/// instance for seconds.
 #[test_case(9)]
 #[test_case(85)]
 #[test_case(295)]
@@ -54,6 +55,7 @@
     });
 }
 
+/// Guards against a delay until a started instance is known, which would grow with the fleet.
 #[test_case(9)]
 #[test_case(85)]
 #[test_case(295)]
@@ -64,6 +66,7 @@
     });
 }
 
+/// Guards against new work for an instance that is leaving. It must still be listed as running.
 #[test_case(9)]
 #[test_case(85)]
 #[test_case(295)]
@@ -71,10 +74,10 @@
     let mut fleet = fleet(size, 1);
     fleet.instances[4].membership.set_leaving(true);
     let is_unknown_to_all = |it: &Fleet| it.up().iter().all(|other| !it.has_member(*other, 4));
-    fleet.run_until(MAX_NOTICE_MS, "a leave is known to all", is_unknown_to_all);
+    fleet.run_until(MAX_NOTICE_MS, "the leaving instance is no member anywhere", is_unknown_to_all);
     assert!(
         fleet.instances[7].membership.running().any(|it| it.id == instance_id(4)),
-        "it still runs"
+        "it is still running"
     );
 }
 
@@ -82,9 +85,8 @@
     gullspar_model::InstanceId::new(format!("entry-place-{number}"))
 }
 
-/// Symptom: callers of a data centre that is cut off wait 800 ms each to be refused, for seconds.
-/// Events: a data centre is cut off from all others.
-/// Cause: an instance counted as out of reach only after a silence that grew with the fleet, 12 s with 295.
+/// Guards against slow detection of a partition, in which callers wait only to be refused, and
+/// against false detection by instances on the other side.
 #[test_case(9)]
 #[test_case(85)]
 #[test_case(295)]
@@ -97,57 +99,64 @@
             (0..size).filter(|it| fleet.instances[*it].data_centre == data_centre).collect();
         let others: Vec<usize> =
             (0..size).filter(|it| fleet.instances[*it].data_centre != data_centre).collect();
-        partitioned.iter().for_each(|it| fleet.instances[*it].side = 1);
+        partitioned.iter().for_each(|it| fleet.instances[*it].partition = 1);
         let all_isolated = |it: &Fleet| partitioned.iter().all(|number| it.is_isolated(*number));
-        let elapsed_ms =
-            fleet.run_until(MAX_ISOLATION_MS, "all behind the cut know it", all_isolated);
-        println!("{size} instances, seed {seed}: a cut is known behind it after {elapsed_ms} ms");
+        let elapsed_ms = fleet.run_until(
+            MAX_ISOLATION_MS,
+            "all partitioned instances are isolated",
+            all_isolated,
+        );
+        println!(
+            "{size} instances, seed {seed}: partitioned instances are isolated after {elapsed_ms} ms"
+        );
         for _ in 0..60 {
             fleet.run_for(100 * MS);
             let falsely_isolated = others.iter().filter(|it| fleet.is_isolated(**it)).count();
-            assert_eq!(falsely_isolated, 0, "nobody else takes itself for cut off");
-            let unaware = partitioned.iter().filter(|it| !fleet.is_isolated(**it)).count();
-            assert_eq!(unaware, 0, "seed {seed}: all behind the cut go on knowing it");
+            assert_eq!(falsely_isolated, 0, "no other instance is isolated");
+            let not_isolated = partitioned.iter().filter(|it| !fleet.is_isolated(**it)).count();
+            assert_eq!(not_isolated, 0, "seed {seed}: partitioned instances stay isolated");
         }
         assert!(
             others.iter().all(|it| fleet.knows_exactly(*it, &others)),
-            "those behind it are gone"
+            "the others are the only members"
+        );
+        partitioned.iter().for_each(|it| fleet.instances[*it].partition = 0);
+        let elapsed_ms = fleet.run_until(
+            MAX_CONVERGENCE_MS,
+            "all instances know all others",
+            Fleet::all_know_all,
         );
-        partitioned.iter().for_each(|it| fleet.instances[*it].side = 0);
-        let elapsed_ms =
-            fleet.run_until(MAX_CONVERGENCE_MS, "the fleet is whole", Fleet::all_know_all);
         assert!(fleet.up().iter().all(|it| !fleet.is_isolated(*it)));
-        println!("{size} instances, seed {seed}: whole {elapsed_ms} ms after the cut");
+        println!("{size} instances, seed {seed}: converged {elapsed_ms} ms after the partition");
     }
 }
 
-/// Symptom: instances that are cut off together stay ready, or those that are not take themselves out.
-/// Events: a third of all instances, of every data centre, is cut off from the others and hears each other.
-/// Cause: a handful of contacts is too few to tell this from a few deaths, unless they tell what they hear.
+/// Guards against missing a partition that leaves each data centre partly reachable, which a
+/// handful of contacts can't distinguish from a few deaths.
 #[test_case(85)]
 #[test_case(295)]
 #[test_case(2169 => ignore ["takes minutes without optimization"])]
 fn partitioned_part_of_every_data_centre_becomes_isolated(size: usize) {
-    // Whole thirds, not whole data centres.
+    // One third of the instances of each data centre.
     let is_partitioned = |number: usize| (number / DATA_CENTRES).is_multiple_of(3);
     for seed in 1..=3 {
         let mut fleet = fleet(size, seed);
         for number in 0..size {
-            fleet.instances[number].side = u32::from(is_partitioned(number));
+            fleet.instances[number].partition = u32::from(is_partitioned(number));
         }
         fleet.run_for(MAX_NOTICE_MS * MS);
-        let unaware = (0..size).filter(|it| is_partitioned(*it) && !fleet.is_isolated(*it)).count();
+        let not_isolated =
+            (0..size).filter(|it| is_partitioned(*it) && !fleet.is_isolated(*it)).count();
         let falsely_isolated =
             (0..size).filter(|it| !is_partitioned(*it) && fleet.is_isolated(*it)).count();
-        assert_eq!((unaware, falsely_isolated), (0, 0), "of {size} instances, seed {seed}");
-        (0..size).for_each(|it| fleet.instances[it].side = 0);
-        fleet.run_until(MAX_CONVERGENCE_MS, "the fleet is whole", Fleet::all_know_all);
+        assert_eq!((not_isolated, falsely_isolated), (0, 0), "of {size} instances, seed {seed}");
+        (0..size).for_each(|it| fleet.instances[it].partition = 0);
+        fleet.run_until(MAX_CONVERGENCE_MS, "all instances know all others", Fleet::all_know_all);
     }
 }
 
-/// Symptom: instances that work are taken for dead, so that their sessions and shares move back and forth.
-/// Events: one datagram in a hundred is lost; one instance in ten has too little processor and stands still again and
-/// again; others are suspended for a second and come back.
+/// Asserts that only suspended instances are declared dead while datagrams are lost and one
+/// instance in ten is short of processor time and pauses repeatedly.
 fn assert_no_false_deaths(size: usize, seconds: u64, seed: u64) {
     let mut fleet = fleet(size, seed);
     let busy: Vec<usize> = (0..size).filter(|it| it % 10 == 3).collect();
@@ -164,12 +173,17 @@
         let dead: BTreeSet<_> = fleet.deaths.iter().map(|it| it.1.clone()).collect();
         assert_eq!(dead.into_iter().collect::<Vec<_>>(), [instance_id(suspended)]);
         fleet.deaths.clear();
-        fleet.run_until(MAX_NOTICE_MS, "it is back", Fleet::all_know_all);
-        assert!(fleet.deaths.is_empty(), "it took nobody else for dead: {:?}", fleet.deaths);
+        fleet.run_until(
+            MAX_NOTICE_MS,
+            "the suspended instance is a member again",
+            Fleet::all_know_all,
+        );
+        assert!(fleet.deaths.is_empty(), "no other instance is declared dead: {:?}", fleet.deaths);
         fleet.run_for(5 * S);
     }
 }
 
+/// Guards against false deaths, which would move sessions and shares of capacity back and forth.
 #[test_case(9, 200)]
 #[test_case(85, 30)]
 #[test_case(9, 600 => ignore ["takes minutes without optimization"])]
@@ -180,9 +194,9 @@
     assert_no_false_deaths(size, seconds, 1);
 }
 
-/// Symptom: after a power loss of all, instances see different fleets for seconds, and so different homes and shares.
-/// Events: all start within 0.3 s, and know from the registry where each may be; or, at the very first start, three
-/// addresses only.
+/// Guards against slow convergence after a common start, during which instances would compute
+/// different homes and shares. `is_listed`: they know all addresses from the registry; otherwise
+/// only the seeds.
 #[test_case(9, true)]
 #[test_case(85, true)]
 #[test_case(295, true)]
@@ -195,13 +209,18 @@
     fleet.loss_permille = LOSS_PERMILLE;
     fleet.start_together(size, is_listed);
     fleet.run_for(S / 2);
-    let elapsed_ms = fleet.run_until(MAX_CONVERGENCE_MS, "all know all", Fleet::all_know_all);
-    println!("{size} instances, listed {is_listed}: whole {} ms after the start", elapsed_ms + 500);
+    let elapsed_ms =
+        fleet.run_until(MAX_CONVERGENCE_MS, "all instances know all others", Fleet::all_know_all);
+    println!(
+        "{size} instances, listed {is_listed}: converged {} ms after the start",
+        elapsed_ms + 500
+    );
 }
 
-/// What an instance spends does not grow with the fleet: a few percent for several times as many.
+/// Guards against traffic per instance that grows with the fleet.
 ///
-/// In a data centre of a few instances neighbours on its two rings are often the same, so that smaller fleets spend less.
+/// Fleets smaller than these send less, since neighbours on the two rings of a small data centre
+/// are often the same.
 #[test]
 fn traffic_per_instance_does_not_grow_with_the_fleet() {
     let traffic_per_instance = |size: usize| {
@@ -213,7 +232,7 @@
         let (sent, bytes) = (per_second(after.0 - before.0), per_second(after.1 - before.1));
         let far = per_second(after.2 - before.2);
         println!(
-            "{size} instances: {sent} datagrams, {bytes} bytes, {far} far bytes a second each"
+            "{size} instances: {sent} datagrams, {bytes} bytes, {far} far bytes per second and instance"
         );
         (sent, bytes)
     };
@@ -228,8 +247,8 @@
     (sum(|it| it.datagrams), sum(|it| it.bytes), sum(|it| it.far_bytes))
 }
 
-/// Symptom: an instance that is restarted under its name is no member for as long as the old one is believed dead or
-/// leaving.
+/// Guards against a restarted instance that stays excluded because others still have the record of
+/// the dead or leaving process.
 #[test]
 fn restarted_instance_becomes_member_again() {
     let mut fleet = fleet(85, 1);
@@ -238,17 +257,16 @@
     fleet.kill(20);
     fleet.run_for(3 * S);
     fleet.restart(20);
-    fleet.run_until(MAX_NOTICE_MS, "it is a member", Fleet::all_know_all);
-    // Once more, before anybody noticed that it was gone.
+    fleet.run_until(MAX_NOTICE_MS, "the restarted instance is a member", Fleet::all_know_all);
+    // Restart again before any instance detects that it stopped.
     fleet.kill(20);
     fleet.restart(20);
     fleet.run_for(2 * S);
     assert!(fleet.all_know_all());
 }
 
-/// Symptom: an instance behind a cut takes its side for the whole some seconds early, or for ever not.
-/// Events: most instances die for good; those left tell each other of the deaths again and again, and one starts anew.
-/// Cause: a death that is passed on must keep its age, and be told to one that has just started.
+/// Guards against deaths that become younger when they are forwarded, so that they are counted
+/// forever, and against started instances that are not informed of them.
 #[test]
 fn dead_instances_are_counted_for_a_limited_time() {
     let mut fleet = fleet(20, 1);
@@ -258,23 +276,25 @@
     fleet.instances[started].membership.add_probe_address("10.1.0.15:7440".parse().unwrap());
     fleet.run_for(S);
     let counted = fleet.instances[started].membership.counted(fleet.boot_now());
-    assert_eq!(counted, 21, "it is told of the dead");
+    assert_eq!(counted, 21, "it is informed of the dead instances");
     assert!(fleet.is_isolated(15));
     fleet.run_for(13 * S);
     for number in fleet.up() {
         let counted = fleet.instances[number].membership.counted(fleet.boot_now());
-        assert_eq!(counted, 9, "those left are the whole");
+        assert_eq!(counted, 9, "only running instances are counted");
         assert!(!fleet.is_isolated(number));
     }
 }
 
-/// Two halves that were cut apart for longer than the dead count find together again by themselves.
+/// Guards against two halves that stay separate after a partition longer than dead instances are
+/// counted.
 #[test]
 fn halves_merge_after_a_long_partition() {
     let mut fleet = fleet(40, 1);
-    (0..40)
-        .for_each(|it| fleet.instances[it].side = u32::from(fleet.instances[it].data_centre < 2));
+    (0..40).for_each(|it| {
+        fleet.instances[it].partition = u32::from(fleet.instances[it].data_centre < 2)
+    });
     fleet.run_for(40 * S);
-    (0..40).for_each(|it| fleet.instances[it].side = 0);
-    fleet.run_until(10_000, "the fleet is whole", Fleet::all_know_all);
+    (0..40).for_each(|it| fleet.instances[it].partition = 0);
+    fleet.run_until(10_000, "all instances know all others", Fleet::all_know_all);
 }
--- a/crates/gullspar_membership/tests/support/fleet.rs
+++ b/crates/gullspar_membership/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! All simulated instances, and the network between them.
+//! The simulated instances and the network between them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -11,23 +11,23 @@
 use super::instance::{self, Instance, Load};
 use super::{MS, Random};
 
-/// Between two looks of an instance at its links.
+/// Time between two checks of an instance.
 const CHECK_INTERVAL: u64 = 100 * MS;
 
-/// Delays between instances of one data centre, and of two.
+/// Delays within a data centre and between two.
 const NEAR_DELAY: u64 = MS / 2;
 const FAR_DELAY: u64 = 2 * MS;
 
-/// A busy instance stands still about once a second, for up to this long.
+/// Maximum duration of a pause of a busy instance; there is about one per second.
 const MAX_STALL: u64 = 450 * MS;
 
-/// Instances whose addresses all know from their settings.
+/// Number of instances whose addresses all others know from their settings.
 const SEED_COUNT: usize = 3;
 
-/// UDP and IP headers of a datagram, in bytes.
+/// Size of the UDP and IP headers of a datagram, in bytes.
 const HEADER_BYTES: u64 = 28;
 
-/// All machines start within this time.
+/// All instances of a fleet start within this time.
 const MAX_START_DELAY: u64 = 300 * MS;
 
 enum Event {
@@ -67,9 +67,9 @@
     pub instances: Vec<Instance>,
     pub now: u64,
     pub random: Random,
-    /// Datagrams that get lost, in a thousand.
+    /// Lost datagrams per thousand.
     pub loss_permille: u64,
-    /// Instances that were declared dead by somebody while they were up and reachable.
+    /// Pairs of an instance and another one that it declared dead.
     pub deaths: BTreeSet<(usize, InstanceId)>,
     data_centres: usize,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -77,7 +77,7 @@
 }
 
 impl Fleet {
-    /// A fleet in which nobody has started.
+    /// Creates a fleet without instances.
     pub fn new(data_centres: usize, seed: u64) -> Fleet {
         Fleet {
             instances: Vec::new(),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A fleet of which all know all.
+    /// Creates a fleet in which all instances know all others.
     pub fn settled(size: usize, data_centres: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(data_centres, seed);
         fleet.start_together(size, true);
@@ -101,7 +101,7 @@
         fleet
     }
 
-    /// Starts `size` instances at about the same time, with the addresses of all if `listed`.
+    /// Starts `size` instances at about the same time; if `is_listed`, they know all addresses.
     pub fn start_together(&mut self, size: usize, is_listed: bool) {
         for number in 0..size {
             let at = self.now + self.random.below(MAX_START_DELAY);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Starts one more instance now; gives its number.
+    /// Starts one more instance and returns its number.
     pub fn start_one(&mut self) -> usize {
         let number = self.instances.len();
         self.add(number, self.now);
@@ -134,13 +134,13 @@
         self.schedule(at, Event::Check { instance: number, life });
     }
 
-    /// Ends an instance at once.
+    /// Stops an instance without notice.
     pub fn kill(&mut self, number: usize) {
         self.instances[number].is_up = false;
         self.instances[number].life += 1;
     }
 
-    /// Starts an instance anew under its name; it knows nothing of before.
+    /// Restarts an instance under the same name and without its previous state.
     pub fn restart(&mut self, number: usize) {
         let seeds: Vec<_> = (0..SEED_COUNT).map(instance::address).collect();
         let Instance { life, round, .. } = self.instances[number];
@@ -150,7 +150,7 @@
         self.start(number, self.now);
     }
 
-    /// Has an instance stand still for `time`.
+    /// Suspends an instance for `time`.
     pub fn suspend(&mut self, number: usize, time: u64) {
         self.instances[number].suspended_until = self.now + time;
     }
@@ -175,7 +175,11 @@
         self.now = end;
     }
 
-    /// Runs until `is_reached`, looking every 10 ms; gives the milliseconds it took, and fails past `limit_ms`.
+    /// Runs until `is_reached`, checked every 10 ms; returns the elapsed milliseconds.
+    ///
+    /// # Panics
+    ///
+    /// Panics after `limit_ms`.
     pub fn run_until(
         &mut self,
         limit_ms: u64,
@@ -250,7 +254,7 @@
         self.expedite_round(number);
     }
 
-    /// Brings the next round forward if there are news.
+    /// Brings the next round forward if updates are pending.
     fn expedite_round(&mut self, number: usize) {
         if !self.instances[number].membership.has_updates() {
             return;
@@ -283,7 +287,7 @@
         sender.bytes += size;
         sender.far_bytes += if is_far { size } else { 0 };
         let Some(receiver) = self.instances.get(to) else { return };
-        if !receiver.is_up || receiver.side != self.instances[from].side {
+        if !receiver.is_up || receiver.partition != self.instances[from].partition {
             return;
         }
         if self.random.happens(self.loss_permille) {
@@ -293,18 +297,18 @@
         self.schedule(self.now + delay, Event::Receive { instance: to, gossip: Rc::new(gossip) });
     }
 
-    /// Numbers of the instances that run.
+    /// Numbers of the running instances.
     pub fn up(&self) -> Vec<usize> {
         (0..self.instances.len()).filter(|it| self.instances[*it].is_up).collect()
     }
 
-    /// Whether each instance that runs takes just the others that run for members.
+    /// Whether the members known to each running instance are exactly the other running instances.
     pub fn all_know_all(&self) -> bool {
         let up = self.up();
         up.iter().all(|it| self.knows_exactly(*it, &up))
     }
 
-    /// Whether instance `number` takes just `expected`, less itself, for members.
+    /// Whether the members known to instance `number` are exactly `expected` without itself.
     pub fn knows_exactly(&self, number: usize, expected: &[usize]) -> bool {
         let members: BTreeSet<InstanceId> =
             self.instances[number].membership.members().map(|it| it.id.clone()).collect();
@@ -313,7 +317,7 @@
             && others.clone().all(|it| members.contains(&instance::id(*it)))
     }
 
-    /// Whether instance `number` takes `other` for a member.
+    /// Whether instance `number` knows `other` as a member.
     pub fn has_member(&self, number: usize, other: usize) -> bool {
         let wanted_id = instance::id(other);
         self.instances[number].membership.members().any(|it| it.id == wanted_id)
--- a/crates/gullspar_membership/tests/support/instance.rs
+++ b/crates/gullspar_membership/tests/support/instance.rs
@@ -1,15 +1,15 @@
-//! One simulated instance.
+//! A simulated instance.
 
 use std::net::SocketAddr;
 
 use gullspar_membership::{Member, Membership};
 use gullspar_model::{DataCentre, InstanceId};
 
-/// How a machine runs.
+/// Load of the machine of an instance.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Load {
-    Calm,
-    /// Again and again it stands still for some tenths of a second, as one with little processor and much to do.
+    Normal,
+    /// Pauses repeatedly for some tenths of a second, like a machine short of processor time.
     Busy,
 }
 
@@ -18,14 +18,14 @@
     pub data_centre: usize,
     pub load: Load,
     pub is_up: bool,
-    /// It stands still until then.
+    /// It does not run until this time.
     pub suspended_until: u64,
-    /// Instances on different sides of a cut do not reach each other.
-    pub side: u32,
+    /// Partition of the network; instances of different partitions can't reach each other.
+    pub partition: u32,
     pub last_round: u64,
-    /// Counts its starts and ends; what was planned in another life is void.
+    /// Number of starts and stops; events scheduled for an earlier number are obsolete.
     pub life: u64,
-    /// Counts its rounds of heartbeats; one planned under another number is void.
+    /// Number of heartbeat rounds; a round scheduled under an earlier number is obsolete.
     pub round: u64,
     pub datagrams: u64,
     pub bytes: u64,
@@ -37,10 +37,10 @@
         Instance {
             membership: Membership::new(member(number, data_centre), seeds.iter().copied()),
             data_centre,
-            load: Load::Calm,
+            load: Load::Normal,
             is_up: true,
             suspended_until: 0,
-            side: 0,
+            partition: 0,
             last_round: 0,
             life: 0,
             round: 0,
--- a/crates/gullspar_membership/tests/support/mod.rs
+++ b/crates/gullspar_membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time: one thread, no sockets, seeded.
+//! A simulated fleet in simulated time: one thread, no sockets, reproducible by its seed.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 #![allow(dead_code, reason = "each test file uses a part")]
--- a/crates/gullspar_membership/tests/support/random.rs
+++ b/crates/gullspar_membership/tests/support/random.rs
@@ -21,7 +21,7 @@
         self.next() % limit
     }
 
-    /// Whether an event of `permille` in a thousand happens.
+    /// Whether an event with a probability of `permille` per thousand happens.
     pub fn happens(&mut self, permille: u64) -> bool {
         self.below(1000) < permille
     }
