--- a/crates/gullspar_direct/src/configuration/store_contact.rs
+++ b/crates/gullspar_direct/src/configuration/store_contact.rs
@@ -48,7 +48,7 @@
     /// Whether neither this instance nor, as far as it knows, any other one reaches the store.
     fn is_store_unreachable_for_all(&self) -> bool {
         let now = self.borders.clock.boot_now();
-        !self.can_reach_store() && !self.peers.others_reach_store(now)
+        !self.can_reach_store() && !self.peers.is_store_reachable_by_any(now)
     }
 
     /// The minimum delay between two calls to a store that does not answer; zero for a follower.
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Telling other instances what this one knows, and taking what they tell.
+//! Sends heartbeats to other instances and processes theirs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,20 +6,20 @@
 use std::time::{Duration, Instant};
 
 use gullspar_border::{BootInstant, PeerError, within};
-use gullspar_membership::{Gossip, HEARTBEAT_EVERY, HEARTBEAT_SPACING};
+use gullspar_membership::{Gossip, HEARTBEAT_INTERVAL, MIN_HEARTBEAT_INTERVAL};
 use gullspar_model::GroupName;
 
 use crate::configuration::update_source::UpdateSource;
 use crate::proxy::SETTLE_PERIOD;
 use crate::{GroupView, Heartbeat, Members, PeerMessage, Phase, Proxy, Snapshot, SnapshotRequest};
 
-/// How long handing over a snapshot may take.
-const FETCH_WITHIN: Duration = Duration::from_millis(800);
+/// How long fetching a snapshot from another instance may take.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What was told last.
+/// State as of the last heartbeats.
 #[derive(Default)]
-struct Told {
-    /// When all are told again.
+struct LastSent {
+    /// When the next full round is due.
     next_round: Option<Instant>,
     views: BTreeMap<GroupName, GroupView>,
     catalogue_version: u64,
@@ -28,78 +28,80 @@
 impl Proxy {
     pub(crate) async fn send_heartbeats(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
-        let mut told = Told::default();
+        let mut last_sent = LastSent::default();
         loop {
-            let news = self.peers.listen();
-            let known = self.directory.listen();
-            let sent = clock.now();
-            let is_due = told.next_round.is_none_or(|it| sent >= it);
-            self.send_round(&mut told, is_due);
+            let updates = self.peers.listen();
+            let directory_changed = self.directory.listen();
+            let sent_at = clock.now();
+            let is_due = last_sent.next_round.is_none_or(|it| sent_at >= it);
+            self.send_round(&mut last_sent, is_due);
             if is_due {
-                told.next_round = Some(sent + HEARTBEAT_EVERY);
+                last_sent.next_round = Some(sent_at + HEARTBEAT_INTERVAL);
             }
-            let next_round = told.next_round.unwrap_or(sent);
-            // What is passed on is passed on twice, so that one lost datagram matters to nobody.
-            if !self.peers.has_news() {
+            let next_round = last_sent.next_round.unwrap_or(sent_at);
+            // Each update is sent in two rounds, so that a single lost datagram does no harm.
+            if !self.peers.has_updates() {
                 let groups = self.groups();
                 let changed = futures::future::select_all(
-                    groups.iter().map(|it| it.listen()).chain([known, news]),
+                    groups.iter().map(|it| it.listen()).chain([directory_changed, updates]),
                 );
-                // A leader that fell silent is news: a promotion waits for the views of most instances.
+                // A leader that falls silent ends the wait: a promotion needs the views of most
+                // instances.
                 let _ = within(&*clock, next_round, changed).await;
             }
-            if self.directory.version() != told.catalogue_version {
-                told.next_round = None;
+            if self.directory.version() != last_sent.catalogue_version {
+                last_sent.next_round = None;
             }
-            clock.sleep_until(sent + HEARTBEAT_SPACING).await;
+            clock.sleep_until(sent_at + MIN_HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// Sends heartbeats: in a round that is due to all contacts and to all that look at the same groups, otherwise to
-    /// contacts if there is news to pass on, and of the others to those that look at a group that has changed.
+    /// Sends heartbeats. A round that is due goes to all contacts and group peers. Other rounds go
+    /// to contacts if there are membership updates, and to the group peers of groups whose view has
+    /// changed.
     ///
-    /// Of many groups there is always one that changes. Told to everybody each time, changes would take more of the links
-    /// than callers do.
-    fn send_round(&self, told: &mut Told, is_due: bool) {
+    /// With many groups, some view changes all the time; sending each change to everyone would cost
+    /// more bandwidth than the callers' traffic.
+    fn send_round(&self, last_sent: &mut LastSent, is_due: bool) {
         let now = self.borders.clock.boot_now();
         self.peers.set_leaving(self.shutdown.phase() != Phase::Serving);
         self.hand_over_quotas(now);
         let views = self.views(now);
         let changed: BTreeSet<GroupName> = views
             .iter()
-            .filter(|it| told.views.get(&it.group).is_none_or(|old| it.differs_from(old)))
+            .filter(|it| last_sent.views.get(&it.group).is_none_or(|old| it.is_changed_from(old)))
             .map(|it| it.group.clone())
             .collect();
         if is_due || !changed.is_empty() {
-            self.peers.keep_close(self.looking_at_same_groups(), now);
+            self.peers.update_group_peers(self.find_group_peers(), now);
         }
         let mut to: BTreeSet<SocketAddr> = BTreeSet::new();
-        if is_due || self.peers.has_news() {
+        if is_due || self.peers.has_updates() {
             to.extend(self.peers.begin_round(self.borders.entropy.next_u64(), now));
         }
-        to.extend(self.peers.close(|groups| is_due || !groups.is_disjoint(&changed)));
+        to.extend(self.peers.group_peers(|groups| is_due || !groups.is_disjoint(&changed)));
         for address in to {
             let heartbeat = self.heartbeat(address, self.peers.gossip(address, now), &views, now);
             self.borders.peers.send(address, &PeerMessage::Heartbeat(heartbeat));
         }
-        told.catalogue_version = self.directory.version();
-        told.views = views.into_iter().map(|it| (it.group.clone(), it)).collect();
+        last_sent.catalogue_version = self.directory.version();
+        last_sent.views = views.into_iter().map(|it| (it.group.clone(), it)).collect();
     }
 
-    /// Addresses of the homes of the groups that this instance looks at, and of whoever else said that it does, with the
-    /// groups in common.
+    /// Instances that monitor the same groups, with the shared groups: the groups' homes and the
+    /// instances that sent views of them.
     ///
-    /// They decide on promotions together, and need each other's views at once.
-    fn looking_at_same_groups(&self) -> BTreeMap<SocketAddr, BTreeSet<GroupName>> {
+    /// They decide on promotions together and need each other's views without delay.
+    fn find_group_peers(&self) -> BTreeMap<SocketAddr, BTreeSet<GroupName>> {
         let now = self.borders.clock.boot_now();
-        let mut looking: BTreeMap<SocketAddr, BTreeSet<GroupName>> = BTreeMap::new();
+        let mut group_peers: BTreeMap<SocketAddr, BTreeSet<GroupName>> = BTreeMap::new();
         for group in self.groups() {
-            let addresses = self.peers.views.addresses_looking_at(&group.name, now);
-            for address in addresses.into_iter().chain(self.addresses_of_homes(&group.name)) {
-                looking.entry(address).or_default().insert(group.name.clone());
+            let addresses = self.peers.views.monitoring_addresses(&group.name, now);
+            for address in addresses.into_iter().chain(self.home_addresses(&group.name)) {
+                group_peers.entry(address).or_default().insert(group.name.clone());
             }
         }
-        looking
+        group_peers
     }
 
     fn views(&self, boot_now: BootInstant) -> Vec<GroupView> {
@@ -117,8 +119,8 @@
         views: &[GroupView],
         now: BootInstant,
     ) -> Heartbeat {
-        let common = self.peers.in_common(to);
-        let views = views.iter().filter(|it| common.contains(&it.group)).cloned().collect();
+        let shared = self.peers.shared_groups(to);
+        let views = views.iter().filter(|it| shared.contains(&it.group)).cloned().collect();
         Heartbeat {
             gossip,
             catalogue_version: self.directory.version(),
@@ -129,18 +131,18 @@
         }
     }
 
-    /// Takes a message of another instance.
-    pub fn take_message(&self, message: PeerMessage) {
+    /// Processes a message from another instance.
+    pub fn handle_message(&self, message: PeerMessage) {
         match message {
-            PeerMessage::Heartbeat(heartbeat) => self.take_heartbeat(heartbeat),
+            PeerMessage::Heartbeat(heartbeat) => self.handle_heartbeat(heartbeat),
             PeerMessage::TokenRequest(req) => self.answer_token_request(&req),
-            PeerMessage::TokenGrant(grant) => self.take_grant(&grant),
-            PeerMessage::QuotaHandover(handover) => self.take_quota(&handover),
+            PeerMessage::TokenGrant(grant) => self.apply_grant(&grant),
+            PeerMessage::QuotaHandover(handover) => self.apply_quota_handover(&handover),
         }
     }
 
-    /// Takes a heartbeat of another instance.
-    pub fn take_heartbeat(&self, heartbeat: Heartbeat) {
+    /// Processes a heartbeat from another instance.
+    pub fn handle_heartbeat(&self, heartbeat: Heartbeat) {
         if *heartbeat.from() == self.own.id {
             return;
         }
@@ -151,64 +153,65 @@
             }
         }
         let (address, gossip) = (heartbeat.address(), heartbeat.gossip.clone());
-        if self.peers.take(heartbeat, now).wants_answer {
+        if self.peers.handle_heartbeat(heartbeat, now).needs_answer {
             let answer = self.peers.answer(&gossip, now);
             let heartbeat = self.heartbeat(address, answer, &self.views(now), now);
             self.borders.peers.send(address, &PeerMessage::Heartbeat(heartbeat));
         }
     }
 
-    /// Notices who has fallen silent, and what this instance can tell of itself.
-    pub(crate) fn watch_peers(&self) {
+    /// Records which contacts this instance itself has and checks the other instances for silence.
+    pub(crate) fn check_peers(&self) {
         let now = self.borders.clock.boot_now();
         if self.can_reach_store() {
-            self.peers.note_store(now);
+            self.peers.record_store_contact(now);
         }
         if self.can_reach_most_leaders() {
-            self.peers.note_home(now);
+            self.peers.record_home_contact(now);
         }
         for id in self.peers.check(now) {
-            log::info!(instance = id.as_str(); "G0763 an instance is dead");
+            log::info!(instance = id.as_str(); "G0763 an instance was declared dead");
         }
     }
 
-    /// Takes what other instances have newer.
+    /// Fetches newer configuration and lists of targets from other instances.
     ///
-    /// An instance that the store turns away, or that is cut off from it, would go on by an old
-    /// configuration that everybody else has left.
-    pub(crate) async fn follow_peers(self: Rc<Self>) {
+    /// Without this, an instance that can't use the store would keep serving by an outdated
+    /// configuration.
+    pub(crate) async fn sync_from_peers(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut source = UpdateSource::starting_with(self.borders.entropy.next_u64());
         loop {
             let revision =
                 (!self.has_targets_from_store()).then(|| self.directory.target_revision());
-            let ahead = self.peers.ahead(self.directory.version(), revision, clock.boot_now());
-            if let Some(from) = source.pick(&ahead, &self.own.data_centre) {
+            let candidates =
+                self.peers.peers_with_updates(self.directory.version(), revision, clock.boot_now());
+            if let Some(from) = source.pick(&candidates, &self.own.data_centre) {
                 let req = SnapshotRequest {
                     catalogue_version: self.directory.version(),
                     target_revision: self.directory.target_revision(),
                 };
-                let deadline = clock.now() + FETCH_WITHIN;
+                let deadline = clock.now() + FETCH_TIMEOUT;
                 match self.borders.peers.fetch(from, req, deadline).await {
                     Ok(snapshot) => {
                         source.answered();
-                        self.take(from, snapshot);
+                        self.apply_snapshot(from, snapshot);
                     }
                     Err(PeerError::NoAnswer(reason)) => {
                         source.failed();
-                        log::info!(from = from.to_string().as_str(), reason = reason.as_str(); "G0714 an instance did not hand over its configuration");
+                        log::info!(from = from.to_string().as_str(), reason = reason.as_str(); "G0714 fetching the configuration from an instance failed");
                     }
                 }
             }
-            clock.sleep_until(clock.now() + HEARTBEAT_EVERY).await;
+            clock.sleep_until(clock.now() + HEARTBEAT_INTERVAL).await;
         }
     }
 
-    fn take(&self, from: SocketAddr, snapshot: Snapshot) {
+    fn apply_snapshot(&self, from: SocketAddr, snapshot: Snapshot) {
         if let Some(catalogue) = snapshot.catalogue {
             let version = catalogue.version;
             if self.directory.apply_catalogue(catalogue) {
-                log::info!(version = version, from = from.to_string().as_str(); "G0760 a configuration came from an instance");
+                log::info!(version = version, from = from.to_string().as_str(); "G0760 received a configuration from an instance");
             }
         }
         if let Some(targets) = snapshot.targets
@@ -218,7 +221,8 @@
         }
     }
 
-    /// What another instance lacks.
+    /// The configuration and the list of targets, as far as they are newer than those of the
+    /// requesting instance.
     pub fn snapshot(&self, req: SnapshotRequest) -> Snapshot {
         let catalogue = self.directory.catalogue().filter(|it| it.version > req.catalogue_version);
         let list = self.directory.target_list();
@@ -228,7 +232,7 @@
         }
     }
 
-    /// All instances that take work, this one included.
+    /// The instances that take work, this one included.
     pub(crate) fn members(&self) -> Rc<Members> {
         self.peers.members(self.borders.clock.boot_now())
     }
--- a/crates/gullspar_direct/src/fleet/homes.rs
+++ b/crates/gullspar_direct/src/fleet/homes.rs
@@ -1,44 +1,49 @@
-//! Which instances hold connections to a group's targets.
+//! Selects the instances that hold connections to a group's targets: the group's homes.
 //!
-//! A few instances can each hold their share of a target's connections. When a share would be less than two,
-//! only some of them do, the group's homes, and the others hand sessions on to them.
+//! In a small fleet every instance opens connections itself. When an instance's share of a target's
+//! connections would be less than two, only the homes connect, and the other instances forward
+//! sessions to them.
 
 use gullspar_model::{DataCentre, GroupName, InstanceId};
 
 use crate::targets::admission_limit;
 use crate::{Member, Members};
 
-/// The least share of connections with which every instance connects itself: one for statements and one for
-/// a transaction beside it.
-const LEAST_SHARE: usize = 2;
+/// The smallest share of connections with which every instance connects itself: one for statements
+/// and one for a transaction.
+const MIN_SHARE: usize = 2;
 
-/// Instances that stand in for homes that can't be reached, in the order of preference.
+/// Instances ranked after the homes that replace homes that can't be reached.
 const SPARE_HOMES: usize = 2;
 
-/// The fewest connections to a target that a home should hold.
-const PER_HOME: usize = 5;
+/// Minimum number of connections to a target that a home should hold.
+const MIN_CONNECTIONS_PER_HOME: usize = 5;
 
-/// What each target of a group allows.
+/// The limits of each target of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Allowance {
     /// Connections from all instances together.
     pub(crate) connections: u32,
-    /// Statements that it runs at once.
+    /// Statements that a target runs at the same time.
     pub(crate) slots: u32,
 }
 
-/// How many homes a group has in each data centre; `None` if every instance connects itself.
+/// Number of homes of a group in each data centre; `None` if every instance connects itself.
 ///
-/// No more than can each run a statement: all of them together may use one and a half times the slots.
-/// More of them would send more at once, which would wait in the target's own queue, where neither priority nor deadline
-/// counts, and overflow it.
-fn homes_each(allowance: Allowance, members: usize, data_centres: usize) -> Option<usize> {
+/// There are no more homes than can each run a statement: together, they may use one and a half
+/// times the slots. More homes would fill the target's own queue, which knows neither priorities
+/// nor deadlines.
+fn homes_per_data_centre(
+    allowance: Allowance,
+    members: usize,
+    data_centres: usize,
+) -> Option<usize> {
     let planned = admission_limit::planned_connections(allowance.connections) as usize;
-    if planned / members.max(1) >= LEAST_SHARE {
+    if planned / members.max(1) >= MIN_SHARE {
         return None;
     }
     let data_centres = data_centres.max(1);
-    let by_connections = planned / PER_HOME / data_centres;
+    let by_connections = planned / MIN_CONNECTIONS_PER_HOME / data_centres;
     let percent = admission_limit::statement_percent(allowance.slots, data_centres);
     let by_slots = percent.div_ceil(100) as usize;
     Some(by_connections.min(by_slots).max(1))
@@ -47,50 +52,52 @@
 /// The homes of one group, as seen from one data centre.
 #[derive(Clone, Debug)]
 pub(crate) struct Homes {
-    /// The homes of this data centre, and after them who stands in for one that can't be reached, best first.
+    /// The homes in this data centre, best first, followed by spare homes.
     pub(crate) ranked: Vec<Member>,
     /// How many of `ranked` are homes.
     pub(crate) count: usize,
-    /// How many instances hold connections to each of the group's targets.
+    /// Number of instances that hold connections to each of the group's targets.
     pub(crate) holders: usize,
 }
 
-/// The homes of `group` for `own`; `None` if every instance connects itself.
+/// The homes of `group` for instances in `own`; `None` if every instance connects itself.
 pub(crate) fn homes(
     group: &GroupName,
     allowance: Allowance,
     own: &DataCentre,
     members: &Members,
 ) -> Option<Homes> {
-    let places = members.by_data_centre();
-    let each = homes_each(allowance, members.len(), places.len())?;
-    let mut ranked = by_distance(group, members.near(own));
-    let count = if ranked.is_empty() { each } else { each.min(ranked.len()) };
+    let data_centres = members.by_data_centre();
+    let per_data_centre = homes_per_data_centre(allowance, members.len(), data_centres.len())?;
+    let mut ranked = rank_by_distance(group, members.near(own));
+    let count = if ranked.is_empty() { per_data_centre } else { per_data_centre.min(ranked.len()) };
     if ranked.len() < count + SPARE_HOMES {
         let far = members.iter().filter(|it| it.data_centre != *own);
-        ranked.extend(by_distance(group, far));
+        ranked.extend(rank_by_distance(group, far));
     }
     ranked.truncate(count + SPARE_HOMES);
     let ranked = ranked.into_iter().cloned().collect();
-    let holders = places.map(|it| each.min(it.len())).sum();
+    let holders = data_centres.map(|it| per_data_centre.min(it.len())).sum();
     Some(Homes { ranked, count, holders })
 }
 
-/// The homes of `group` in all data centres; none if every instance connects itself.
-pub(crate) fn everywhere<'a>(
+/// The homes of `group` in all data centres; all members if every instance connects itself.
+pub(crate) fn all_data_centres<'a>(
     group: &GroupName,
     allowance: Allowance,
     members: &'a Members,
 ) -> Vec<&'a Member> {
-    let places = members.by_data_centre();
-    let Some(each) = homes_each(allowance, members.len(), places.len()) else {
+    let data_centres = members.by_data_centre();
+    let Some(per_data_centre) = homes_per_data_centre(allowance, members.len(), data_centres.len())
+    else {
         return members.iter().collect();
     };
-    let homes = places.flat_map(|it| by_distance(group, it).into_iter().take(each));
+    let homes =
+        data_centres.flat_map(|it| rank_by_distance(group, it).into_iter().take(per_data_centre));
     homes.collect()
 }
 
-fn by_distance<'a>(
+fn rank_by_distance<'a>(
     group: &GroupName,
     members: impl IntoIterator<Item = &'a Member>,
 ) -> Vec<&'a Member> {
@@ -99,18 +106,19 @@
     ranked
 }
 
-/// Rendezvous hashing weighted by the square of the processor: the nearest is the home.
+/// Distance of an instance from a group by rendezvous hashing, weighted by the square of its
+/// processor strength.
 ///
-/// A home serves the sessions of a whole data centre for its group. Where machines differ, it should be one
-/// of the strong, but not of all groups the same one.
+/// The nearest instances become homes. A home serves the group's sessions of a whole data centre,
+/// so strong machines are preferred, while the hash spreads the groups among them.
 fn distance(group: &GroupName, member: &Member) -> u64 {
     let uniform = (weight(group.as_str(), &member.id) as f64 + 1.0) / (u64::MAX as f64 + 1.0);
     let strength = f64::from(member.strength.max(1));
-    // Positive numbers compare like their bits.
+    // The bits of positive floats have the same order as their values.
     (-uniform.ln() / (strength * strength)).to_bits()
 }
 
-/// The weight that rendezvous hashing gives the instance `id` for what is called `name`.
+/// Rendezvous hash of instance `id` for the key `name`.
 pub(crate) fn weight(name: &str, id: &InstanceId) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(name.as_bytes());
     xxhash_rust::xxh3::xxh3_64_with_seed(id.as_str().as_bytes(), seed)
--- a/crates/gullspar_direct/src/fleet/partition.rs
+++ b/crates/gullspar_direct/src/fleet/partition.rs
@@ -16,7 +16,7 @@
     ///
     /// This is so if other instances still use the leader, if this instance is partitioned, or if the leader is leaving
     /// and no successor is being promoted. The caller's retry may then reach an instance that can serve it.
-    pub(crate) fn should_not_wait_for_leader(&self, group: &Group) -> bool {
+    pub(crate) fn should_fail_fast(&self, group: &Group) -> bool {
         if group.serving_leader().is_some() {
             return false;
         }
@@ -24,10 +24,12 @@
         if group.responsive_leader().is_some() {
             return !group.is_being_replaced(now);
         }
-        let led = group
-            .leader()
-            .is_some_and(|it| self.peers.views.others_see_lead(&group.name, &it.member, now));
-        led || self.peers.is_isolated(now) || self.ways_around(&group.name).is_some()
+        let is_led_for_others = group.leader().is_some_and(|it| {
+            self.peers.views.is_seen_leading_by_majority(&group.name, &it.member, now)
+        });
+        is_led_for_others
+            || self.peers.is_isolated(now)
+            || self.forwarding_candidates(&group.name).is_some()
     }
 
     /// Whether this instance has lost contact with the other instances and with the leaders of at least half of its
@@ -41,18 +43,18 @@
             return false;
         }
         match self.groups().is_empty() {
-            true => !self.peers.is_home_at_work(now),
+            true => !self.peers.has_working_home(now),
             false => !self.can_reach_most_leaders(),
         }
     }
 
     /// Whether this instance is the home of some groups and reaches the leaders of more than half of them.
     pub(crate) fn can_reach_most_leaders(&self) -> bool {
-        2 * self.reachable_leaders() > self.groups().len()
+        2 * self.led_group_count() > self.groups().len()
     }
 
     /// The number of this instance's groups whose leader it reaches.
-    pub(crate) fn reachable_leaders(&self) -> usize {
+    pub(crate) fn led_group_count(&self) -> usize {
         self.groups().iter().filter(|it| it.responsive_leader().is_some()).count()
     }
 
@@ -64,7 +66,7 @@
         if self.shutdown.phase() >= Phase::ClosingIdle {
             return Some(NotRun::Leaving);
         }
-        let refuses = match self.shutdown.partition_state() {
+        let should_refuse = match self.shutdown.partition_state() {
             PartitionState::Connected => false,
             // An instance that is home of no group leaves the decision to the homes, which are in contact with leaders.
             PartitionState::Partitioned => match self.group(&route.group) {
@@ -73,7 +75,7 @@
             },
             PartitionState::OutOfRotation => true,
         };
-        refuses.then_some(NotRun::Unreachable)
+        should_refuse.then_some(NotRun::Unreachable)
     }
 
     /// Whether any statement with `route` can be served: its group has a usable leader, or a position sample is recent
@@ -95,8 +97,8 @@
         }
         let is_able = match self.groups().len() {
             // It forwards all sessions.
-            0 => self.peers.running() > 0,
-            count => 2 * self.reachable_leaders() >= count,
+            0 => self.peers.running_count() > 0,
+            count => 2 * self.led_group_count() >= count,
         };
         self.was_able_to_serve.set(is_able);
         is_able
@@ -104,13 +106,13 @@
 
     /// Checks for silent peers, sends callers elsewhere while this instance is partitioned, and keeps alternate routes to
     /// leaders that only this instance can't reach. Never ends.
-    pub(crate) async fn monitor_reachability(self: Rc<Self>) {
+    pub(crate) async fn monitor_connectivity(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut partitioned_since = None;
-        let mut ways_around = Vec::new();
+        let mut routed_groups = Vec::new();
         loop {
-            self.watch_peers();
-            self.look_for_ways(&mut ways_around);
+            self.check_peers();
+            self.refresh_alternate_routes(&mut routed_groups);
             if self.is_partitioned() {
                 let since = *partitioned_since.get_or_insert_with(|| {
                     log::warn!("G0741 this instance is partitioned; callers are sent elsewhere");
--- a/crates/gullspar_direct/src/fleet/views.rs
+++ b/crates/gullspar_direct/src/fleet/views.rs
@@ -1,4 +1,4 @@
-//! What instances that were heard say of groups and of themselves.
+//! The newest heartbeats received from other instances, and what they report about groups.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,80 +6,85 @@
 use std::time::Duration;
 
 use gullspar_border::BootInstant;
-use gullspar_membership::{COUNTS_FOR, Member};
+use gullspar_membership::{DEAD_COUNTED_PERIOD, Member};
 use gullspar_model::{GroupName, InstanceId, MemberName, Revision};
 
 use crate::{Heartbeat, LeaderHealth};
 
-/// An instance heard within this time is alive: five heartbeats in a row may get lost.
-const ALIVE_FOR: Duration = Duration::from_millis(1200);
+/// An instance is alive if something was received from it within this time; this tolerates five
+/// lost heartbeats in a row.
+const ALIVE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// A view of a group older than this says nothing about its leader any more.
-const VIEW_HOLDS_FOR: Duration = Duration::from_millis(700);
+/// Age from which a view of a group says nothing about its leader any more.
+const VIEW_TTL: Duration = Duration::from_millis(700);
 
-/// A view older than this no longer shows that nobody has decided on another leader.
+/// Age from which a view no longer shows that no other leader has been decided on.
 ///
-/// One heartbeat may get lost. Behind a cut the others order a successor some time after they see that the leader is out
-/// of their reach, which takes them longer than this.
-const VOUCH_HOLDS_FOR: Duration = Duration::from_millis(350);
+/// This tolerates one lost heartbeat. It is shorter than the time that instances on the other side
+/// of a partition need to promote a successor.
+const CONFIRMATION_TTL: Duration = Duration::from_millis(350);
 
-struct Heard {
+struct Received {
     heartbeat: Heartbeat,
     at: BootInstant,
 }
 
-/// The newest heartbeat of each instance that sends some here: contacts, and those that look at the same groups.
+/// The newest heartbeat of each instance that sends heartbeats to this one: contacts and group
+/// peers.
 ///
-/// The latter tell each other directly, so that how old a view is does not depend on the size of the fleet.
+/// Group peers send theirs directly, so that the age of a view does not depend on the size of the
+/// fleet.
 #[derive(Default)]
 pub(crate) struct Views {
-    heard: RefCell<BTreeMap<InstanceId, Heard>>,
+    received: RefCell<BTreeMap<InstanceId, Received>>,
 }
 
 impl Views {
-    pub(crate) fn take(&self, heartbeat: Heartbeat, now: BootInstant) {
+    pub(crate) fn record(&self, heartbeat: Heartbeat, now: BootInstant) {
         let from = heartbeat.from().clone();
-        self.heard.borrow_mut().insert(from, Heard { heartbeat, at: now });
+        self.received.borrow_mut().insert(from, Received { heartbeat, at: now });
     }
 
-    /// Forgets instances that were silent for so long that they count no more.
+    /// Removes instances that have been silent for so long that they are no longer counted.
     pub(crate) fn forget_silent(&self, now: BootInstant) {
-        self.heard.borrow_mut().retain(|_, it| now.since(it.at) < COUNTS_FOR);
+        self.received.borrow_mut().retain(|_, it| now.since(it.at) < DEAD_COUNTED_PERIOD);
     }
 
-    /// Names of the instances that look at `group` and stay.
-    pub(crate) fn looking_at(&self, group: &GroupName, now: BootInstant) -> Vec<InstanceId> {
-        self.select(now, ALIVE_FOR, |it| {
+    /// Names of the instances that monitor `group` and are not leaving.
+    pub(crate) fn monitoring_ids(&self, group: &GroupName, now: BootInstant) -> Vec<InstanceId> {
+        self.select(now, ALIVE_TIMEOUT, |it| {
             let has_view = it.view(group).is_some();
             (!it.is_leaving() && has_view).then(|| it.from().clone())
         })
     }
 
-    /// Addresses of the instances that look at `group`.
-    pub(crate) fn addresses_looking_at(
+    /// Addresses of the instances that monitor `group`.
+    pub(crate) fn monitoring_addresses(
         &self,
         group: &GroupName,
         now: BootInstant,
     ) -> Vec<SocketAddr> {
-        self.select(now, COUNTS_FOR, |it| it.view(group).map(|_| it.address()))
+        self.select(now, DEAD_COUNTED_PERIOD, |it| it.view(group).map(|_| it.address()))
     }
 
-    /// Whether `id` was heard lately.
-    pub(crate) fn is_heard(&self, id: &InstanceId, now: BootInstant) -> bool {
-        self.heard.borrow().get(id).is_some_and(|it| now.since(it.at) < ALIVE_FOR)
+    /// Whether a heartbeat was recently received from `id`.
+    pub(crate) fn is_responsive(&self, id: &InstanceId, now: BootInstant) -> bool {
+        self.received.borrow().get(id).is_some_and(|it| now.since(it.at) < ALIVE_TIMEOUT)
     }
 
-    /// Instances that count in a majority about `group`, this one included: those that look at it.
+    /// Number of instances that are counted in majorities about `group`: those that monitor it,
+    /// this one included.
     pub(crate) fn counted_for(&self, group: &GroupName, now: BootInstant) -> usize {
-        let looks = |it: &Heartbeat| {
+        let is_monitoring = |it: &Heartbeat| {
             let has_view = it.view(group).is_some();
             (!it.is_leaving() && has_view).then_some(())
         };
-        1 + self.select(now, COUNTS_FOR, looks).len()
+        1 + self.select(now, DEAD_COUNTED_PERIOD, is_monitoring).len()
     }
 
-    /// Whether at least half of the instances that count see `leader` lead `group`.
-    pub(crate) fn others_see_lead(
+    /// Whether other instances see `leader` leading `group` and are more than half of those
+    /// counted.
+    pub(crate) fn is_seen_leading_by_majority(
         &self,
         group: &GroupName,
         leader: &MemberName,
@@ -90,55 +95,58 @@
             let leads = view.health == LeaderHealth::Leads && view.leader.as_ref() == Some(leader);
             leads.then_some(())
         };
-        2 * self.select(now, VIEW_HOLDS_FOR, sees).len() > self.counted_for(group, now)
+        2 * self.select(now, VIEW_TTL, sees).len() > self.counted_for(group, now)
     }
 
-    /// Whether most of the instances that count, this one included, have spoken since `since` and not against
-    /// `leader` of `group`.
+    /// Whether a majority of the counted instances, this one included, has sent a view since
+    /// `since` that does not oppose `leader` of `group`.
     ///
-    /// A promotion needs half of them against the leader, so that none had been decided on as of `since`.
-    pub(crate) fn vouch_for(
+    /// A promotion requires that at least half of them oppose the leader, so none was decided on
+    /// before `since`.
+    pub(crate) fn is_leader_confirmed(
         &self,
         group: &GroupName,
         leader: &MemberName,
         since: BootInstant,
         now: BootInstant,
     ) -> bool {
-        let vouches = |it: &Heartbeat| {
+        let confirms = |it: &Heartbeat| {
             let view = it.view(group)?;
             let not_against = match view.health {
                 LeaderHealth::Leads => view.leader.as_ref() == Some(leader),
-                // One that has just started has no say yet.
+                // An instance that has just started has no opinion yet.
                 LeaderHealth::Unsure => true,
-                LeaderHealth::Dark | LeaderHealth::NoLeader => false,
+                LeaderHealth::Unresponsive | LeaderHealth::NoLeader => false,
             };
             not_against.then_some(())
         };
-        let vouching = 1 + self.select(now, now.since(since).min(VOUCH_HOLDS_FOR), vouches).len();
-        2 * vouching > self.counted_for(group, now)
+        let confirming =
+            1 + self.select(now, now.since(since).min(CONFIRMATION_TTL), confirms).len();
+        2 * confirming > self.counted_for(group, now)
     }
 
-    /// Other instances that take work and lately saw `group` led by somebody.
-    pub(crate) fn seeing_leader(&self, group: &GroupName, now: BootInstant) -> Vec<Member> {
+    /// Other instances that take work and recently saw a leader of `group`.
+    pub(crate) fn members_seeing_leader(&self, group: &GroupName, now: BootInstant) -> Vec<Member> {
         let sees = |it: &Heartbeat| {
             let view = it.view(group)?;
             let leads = view.health == LeaderHealth::Leads;
             (!it.is_leaving() && leads).then(|| it.member().clone())
         };
-        self.select(now, VIEW_HOLDS_FOR, sees)
+        self.select(now, VIEW_TTL, sees)
     }
 
-    /// Whether any other instance lately saw `group` led by somebody.
-    pub(crate) fn others_see_leader(&self, group: &GroupName, now: BootInstant) -> bool {
+    /// Whether any other instance recently saw a leader of `group`.
+    pub(crate) fn is_leader_seen_by_peers(&self, group: &GroupName, now: BootInstant) -> bool {
         let sees = |it: &Heartbeat| {
             let view = it.view(group)?;
             (view.health == LeaderHealth::Leads).then_some(())
         };
-        !self.select(now, VIEW_HOLDS_FOR, sees).is_empty()
+        !self.select(now, VIEW_TTL, sees).is_empty()
     }
 
-    /// Other instances that lately saw no working leader in `group`, or saw this one fail.
-    pub(crate) fn see_no_leader(
+    /// Number of other instances that recently saw no leader in `group`, or saw `leader`
+    /// unresponsive.
+    pub(crate) fn count_against_leader(
         &self,
         group: &GroupName,
         leader: Option<&MemberName>,
@@ -148,33 +156,37 @@
             let view = it.view(group)?;
             match view.health {
                 LeaderHealth::NoLeader => Some(()),
-                LeaderHealth::Dark => {
+                LeaderHealth::Unresponsive => {
                     (view.leader.as_ref() == leader || leader.is_none()).then_some(())
                 }
                 LeaderHealth::Leads | LeaderHealth::Unsure => None,
             }
         };
-        self.select(now, VIEW_HOLDS_FOR, against).len()
+        self.select(now, VIEW_TTL, against).len()
     }
 
-    /// The instances heard lately whose news are newer than `version` and `revision`.
+    /// Responsive instances whose configuration is newer than `version` or whose list of targets is
+    /// newer than `revision`.
     ///
-    /// A list of targets is taken from one that knows of an instance that the store still answers: one that is cut off
-    /// from it may hold a list from a moment at which most entries had lapsed.
-    pub(crate) fn ahead(
+    /// A list of targets is only accepted from an instance with recent store contact. The list of
+    /// an instance that is partitioned from the store may date from a moment when most entries had
+    /// expired.
+    pub(crate) fn peers_with_updates(
         &self,
         version: u64,
         revision: Option<Revision>,
-        store_known_for: Duration,
+        store_contact_ttl: Duration,
         now: BootInstant,
     ) -> Vec<Member> {
-        let limit = store_known_for.as_millis();
+        let ttl_ms = store_contact_ttl.as_millis();
         let is_ahead = |it: &Heartbeat| {
-            let by_store = it.store_age_ms.is_some_and(|age| u128::from(age) < limit);
-            let list = revision.is_some_and(|known| it.target_revision > known && by_store);
-            (it.catalogue_version > version || list).then(|| it.member().clone())
+            let has_recent_store_contact =
+                it.store_age_ms.is_some_and(|age| u128::from(age) < ttl_ms);
+            let has_newer_targets = revision
+                .is_some_and(|known| it.target_revision > known && has_recent_store_contact);
+            (it.catalogue_version > version || has_newer_targets).then(|| it.member().clone())
         };
-        self.select(now, ALIVE_FOR, is_ahead)
+        self.select(now, ALIVE_TIMEOUT, is_ahead)
     }
 
     fn select<T>(
@@ -183,8 +195,8 @@
         within: Duration,
         pick: impl Fn(&Heartbeat) -> Option<T>,
     ) -> Vec<T> {
-        let heard = self.heard.borrow();
-        heard
+        let received = self.received.borrow();
+        received
             .values()
             .filter(|it| now.since(it.at) < within)
             .filter_map(|it| pick(&it.heartbeat))
--- a/crates/gullspar_direct/src/groups/failover.rs
+++ b/crates/gullspar_direct/src/groups/failover.rs
@@ -86,7 +86,7 @@
             let is_reachable =
                 self.group.targets().iter().any(|it| it.has_responded() && !it.is_unresponsive());
             let boot_now = self.borders.clock.boot_now();
-            let has_leader = self.peers.views.others_see_leader(&self.group.name, boot_now);
+            let has_leader = self.peers.views.is_leader_seen_by_peers(&self.group.name, boot_now);
             return (timed_out && is_reachable && !has_leader && self.is_agreed(None))
                 .then_some(FailoverCause::NoLeader);
         };
@@ -105,7 +105,7 @@
         let now = self.borders.clock.boot_now();
         let tally = VoteTally {
             counted: self.peers.views.counted_for(&self.group.name, now),
-            against: 1 + self.peers.views.see_no_leader(&self.group.name, leader, now),
+            against: 1 + self.peers.views.count_against_leader(&self.group.name, leader, now),
         };
         tally.verdict() == Verdict::Replace
     }
@@ -121,7 +121,7 @@
     /// first, then the others by a hash that spreads the groups over the instances.
     fn rank(&self) -> u32 {
         let now = self.borders.clock.boot_now();
-        let mut ranking = self.peers.views.looking_at(&self.group.name, now);
+        let mut ranking = self.peers.views.monitoring_ids(&self.group.name, now);
         ranking.push(self.own.clone());
         let holder = self.group.claims().holder().cloned();
         ranking.sort_by_key(|it| {
--- a/crates/gullspar_direct/src/proxy.rs
+++ b/crates/gullspar_direct/src/proxy.rs
@@ -101,15 +101,15 @@
     /// limits. Never ends.
     pub async fn run(self: Rc<Self>) {
         compio::runtime::spawn(Rc::clone(&self).send_heartbeats()).detach();
-        compio::runtime::spawn(Rc::clone(&self).follow_peers()).detach();
-        compio::runtime::spawn(Rc::clone(&self).monitor_reachability()).detach();
-        compio::runtime::spawn(Rc::clone(&self).find_others()).detach();
+        compio::runtime::spawn(Rc::clone(&self).sync_from_peers()).detach();
+        compio::runtime::spawn(Rc::clone(&self).monitor_connectivity()).detach();
+        compio::runtime::spawn(Rc::clone(&self).discover_instances()).detach();
         loop {
             let changed = self.directory.listen();
             let now = self.borders.clock.now();
             let next_expiry = self.directory.remove_expired(now);
-            self.tend_groups();
-            self.tend_limits();
+            self.maintain_groups();
+            self.maintain_limits();
             self.borders.stats.record_gauges(&self.gauge_values());
             let until = next_expiry
                 .map_or(now + MAINTENANCE_INTERVAL, |it| it.min(now + MAINTENANCE_INTERVAL));
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -97,12 +97,12 @@
                     tried.push(selected.target.member());
                     selected.record_in(trace);
                     if trace.tries > 1 {
-                        self.spend_again(req.customer.as_ref());
+                        self.consume_retry_token(req.customer.as_ref());
                     }
                     running.push(self.spawn_attempt(group, req, selected, tx.clone()));
                     is_another_due = false;
                 } else if running.is_empty() {
-                    if self.should_not_wait_for_leader(group) {
+                    if self.should_fail_fast(group) {
                         break;
                     }
                     // No target can serve the read at present.
--- a/crates/gullspar_direct/src/session/caller_opening.rs
+++ b/crates/gullspar_direct/src/session/caller_opening.rs
@@ -117,9 +117,9 @@
     customer: Option<CustomerName>,
     forwarded: Option<ForwardedSession>,
 ) -> Result<(), CallerLinkError> {
-    let ways = proxy.ways_around(&route.group);
+    let ways = proxy.forwarding_candidates(&route.group);
     if forwarded.is_some() {
-        proxy.hold(&route.group);
+        proxy.hold_group(&route.group);
         if ways.is_some() {
             return link.reply(&relay::no_home()).await;
         }
--- a/crates/gullspar_direct/src/writing/confirmation.rs
+++ b/crates/gullspar_direct/src/writing/confirmation.rs
@@ -139,7 +139,7 @@
             started
         };
         !group.is_being_replaced(now)
-            && self.peers.views.vouch_for(&group.name, &leader.member, views_since, now)
+            && self.peers.views.is_leader_confirmed(&group.name, &leader.member, views_since, now)
     }
 
     /// Asks the leader that executed `commit` whether it still leads in the same term and has the commit.
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -195,7 +195,7 @@
         let mut failed_answer = None;
         while clock.now() < req.deadline {
             let Some(place) = self.select_target(proxy, req, &tried) else {
-                if proxy.should_not_wait_for_leader(&self.group) {
+                if proxy.should_fail_fast(&self.group) {
                     break;
                 }
                 tried.clear();
--- a/crates/gullspar_direct/src/writing/write_path.rs
+++ b/crates/gullspar_direct/src/writing/write_path.rs
@@ -74,7 +74,7 @@
             if let Some(leader) = group.serving_leader() {
                 return Some(leader);
             }
-            if self.should_not_wait_for_leader(group) {
+            if self.should_fail_fast(group) {
                 return None;
             }
             within(&**clock, req.deadline, changed).await.ok()?;
--- a/crates/gullspar_membership/src/class.rs
+++ b/crates/gullspar_membership/src/proximity.rs
@@ -1,8 +1,8 @@
-//! Near and far instances.
+//! Distinction between near and far instances.
 
 gullspar_model::value! {
-    /// Where another instance is, seen from this one.
-    pub enum Class {
+    /// Location of another instance relative to this one.
+    pub enum Proximity {
         /// In the same data centre.
         Near,
         /// In another data centre.
--- a/crates/gullspar_membership/tests/support/node.rs
+++ b/crates/gullspar_membership/tests/support/instance.rs
@@ -1,46 +1,46 @@
-//! One simulated instance.
+//! A simulated instance.
 
 use std::net::SocketAddr;
 
 use gullspar_membership::{Member, Membership};
 use gullspar_model::{DataCentre, InstanceId};
 
-/// How a machine runs.
+/// Load of the machine of an instance.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Load {
-    Calm,
-    /// Again and again it stands still for some tenths of a second, as one with little processor and much to do.
+    Normal,
+    /// Pauses repeatedly for some tenths of a second, like a machine short of processor time.
     Busy,
 }
 
-pub struct Node {
+pub struct Instance {
     pub membership: Membership,
-    pub place: usize,
+    pub data_centre: usize,
     pub load: Load,
     pub is_up: bool,
-    /// It stands still until then.
-    pub still_until: u64,
-    /// Instances on different sides of a cut do not reach each other.
-    pub side: u32,
+    /// It does not run until this time.
+    pub suspended_until: u64,
+    /// Partition of the network; instances of different partitions can't reach each other.
+    pub partition: u32,
     pub last_round: u64,
-    /// Counts its starts and ends; what was planned in another life is void.
+    /// Number of starts and stops; events scheduled for an earlier number are obsolete.
     pub life: u64,
-    /// Counts its rounds of heartbeats; one planned under another number is void.
+    /// Number of heartbeat rounds; a round scheduled under an earlier number is obsolete.
     pub round: u64,
     pub datagrams: u64,
     pub bytes: u64,
     pub far_bytes: u64,
 }
 
-impl Node {
-    pub fn new(number: usize, place: usize, seeds: &[SocketAddr]) -> Node {
-        Node {
-            membership: Membership::new(member(number, place), seeds.iter().copied()),
-            place,
-            load: Load::Calm,
+impl Instance {
+    pub fn new(number: usize, data_centre: usize, seeds: &[SocketAddr]) -> Instance {
+        Instance {
+            membership: Membership::new(member(number, data_centre), seeds.iter().copied()),
+            data_centre,
+            load: Load::Normal,
             is_up: true,
-            still_until: 0,
-            side: 0,
+            suspended_until: 0,
+            partition: 0,
             last_round: 0,
             life: 0,
             round: 0,
@@ -66,11 +66,11 @@
     usize::from(high) * 256 + usize::from(low)
 }
 
-pub fn member(number: usize, place: usize) -> Member {
+pub fn member(number: usize, data_centre: usize) -> Member {
     Member {
         id: id(number),
         address: address(number),
-        data_centre: DataCentre::new(format!("place-{place}")),
+        data_centre: DataCentre::new(format!("place-{data_centre}")),
         strength: 250,
     }
 }
--- a/crates/gullspar_membership/tests/support/mod.rs
+++ b/crates/gullspar_membership/tests/support/mod.rs
@@ -1,14 +1,14 @@
-//! A fleet in simulated time: one thread, no sockets, seeded.
+//! A simulated fleet in simulated time: one thread, no sockets, reproducible by its seed.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 #![allow(dead_code, reason = "each test file uses a part")]
 
 mod fleet;
-mod node;
+mod instance;
 mod random;
 
 pub use fleet::Fleet;
-pub use node::Node;
+pub use instance::Instance;
 pub use random::Random;
 
 /// Milliseconds, as microseconds of the simulated clock.
