--- a/crates/gullspar_direct/src/fleet/alternate_route.rs
+++ b/crates/gullspar_direct/src/fleet/alternate_route.rs
@@ -35,8 +35,9 @@
         let known = self.group(group)?;
         let leaderless_since = known.leader_unavailable_since()?;
         let now = self.borders.clock.now();
-        let has_refused_connection =
-            now.checked_sub(CONNECTIONS_REFUSED_TTL).is_some_and(|it| known.has_hit_connection_limit_since(it));
+        let has_refused_connection = now
+            .checked_sub(CONNECTIONS_REFUSED_TTL)
+            .is_some_and(|it| known.has_hit_connection_limit_since(it));
         if now < leaderless_since + LEADERLESS_AFTER && !has_refused_connection {
             return None;
         }
--- a/crates/gullspar_direct/src/fleet/partition.rs
+++ b/crates/gullspar_direct/src/fleet/partition.rs
@@ -83,7 +83,8 @@
     fn can_serve(&self, group: &Group, route: &Route) -> bool {
         let now = self.borders.clock.boot_now();
         let has_recent_sample = |max_age| group.position_sample_within(now, max_age).is_some();
-        group.responsive_leader().is_some() || route.freshness.max_age().is_some_and(has_recent_sample)
+        group.responsive_leader().is_some()
+            || route.freshness.max_age().is_some_and(has_recent_sample)
     }
 
     /// Whether this instance has been able to serve callers since its start.
--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -194,7 +194,12 @@
     }
 
     /// Records that `member`, asked at `begun`, answered as the leader with the end of its log at `point`.
-    pub(crate) fn record_leader(&self, member: &MemberName, point: LogPoint, requested_at: BootInstant) {
+    pub(crate) fn record_leader(
+        &self,
+        member: &MemberName,
+        point: LogPoint,
+        requested_at: BootInstant,
+    ) {
         if point.term < self.newest_term.get() {
             // A late answer from a leader that has been superseded.
             return;
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -225,7 +225,12 @@
     }
 
     /// Selects a target that has not been tried yet.
-    fn select_target(&self, proxy: &Proxy, req: &Request, tried: &[MemberName]) -> Option<SelectedTarget> {
+    fn select_target(
+        &self,
+        proxy: &Proxy,
+        req: &Request,
+        tried: &[MemberName],
+    ) -> Option<SelectedTarget> {
         if self.read_only && req.freshness != Freshness::Latest {
             return proxy.select_read_target(&self.group, req, tried);
         }
--- a/crates/gullspar_direct/tests/knowledge.rs
+++ b/crates/gullspar_direct/tests/knowledge.rs
@@ -7,8 +7,7 @@
 use gullspar_border::BootInstant;
 use gullspar_direct::{
     ClaimReport, ClaimTracker, Directory, FencingToken, PositionSample, PositionSamples,
-    TargetList, Verdict,
-    VoteTally,
+    TargetList, Verdict, VoteTally,
 };
 use gullspar_model::{InstanceId, LogPoint, Revision};
 use gullspar_statement::TargetSpec;
