--- a/crates/gullspar_model/src/outcome.rs
+++ b/crates/gullspar_model/src/outcome.rs
@@ -79,13 +79,13 @@
     /// Describes the reason for callers and operators.
     pub fn text(self) -> &'static str {
         match self {
-            NotRun::NotHome => "the instance asked does not hold the target's connections",
-            NotRun::NotPrimary => "the target is not the primary of its group",
+            NotRun::NotHome => "the instance asked does not hold that target's connections",
+            NotRun::NotPrimary => "the target does not lead its group",
             NotRun::NoPrimary => "no primary of the group is known",
-            NotRun::NoMajority => "no majority of the group is reachable",
-            NotRun::Behind => "no reachable target is fresh enough",
+            NotRun::NoMajority => "a majority of the group is out of sight",
+            NotRun::Behind => "no target within reach is fresh enough",
             NotRun::Overloaded { .. } => "the service is overloaded",
-            NotRun::OverLimit { .. } => "the customer has reached its limit",
+            NotRun::OverLimit { .. } => "the customer is at its limit",
             NotRun::DeadlinePassed => "the deadline passed before the request reached a target",
             NotRun::Unreachable => "no target could be reached",
             NotRun::Leaving => "the instance is shutting down",
