--- a/crates/gullspar_direct/src/fleet/partition.rs
+++ b/crates/gullspar_direct/src/fleet/partition.rs
@@ -24,10 +24,10 @@
         if group.working_leader().is_some() {
             return !group.is_being_replaced(now);
         }
-        let led = group
+        let is_led_elsewhere = group
             .leader()
             .is_some_and(|it| self.peers.views.others_see_lead(&group.name, &it.member, now));
-        led || self.peers.is_isolated(now) || self.ways_around(&group.name).is_some()
+        is_led_elsewhere || self.peers.is_isolated(now) || self.ways_around(&group.name).is_some()
     }
 
     /// Whether this instance has lost contact with the other instances and with the leaders of at least half of its
--- a/crates/gullspar_direct/src/session/relay.rs
+++ b/crates/gullspar_direct/src/session/relay.rs
@@ -94,9 +94,7 @@
     link.send(&RelayMessage::Caller(opening.message())).await?;
     match link.next().await? {
         Some(RelayReply::Answer(answer)) => Ok((answer, link)),
-        Some(RelayReply::Ending) | None => {
-            Err(PeerError::NoAnswer("it ended the session".to_owned()))
-        }
+        Some(RelayReply::Ending) | None => Err(PeerError::NoAnswer("it disconnected".to_owned())),
     }
 }
 
--- a/crates/gullspar_fleet/src/gossip.rs
+++ b/crates/gullspar_fleet/src/gossip.rs
@@ -69,7 +69,8 @@
         pool.get(index.checked_rem(pool.len())?).map(|it| (*it).clone())
     }
 
-    /// Exchanges records with `other`, and marks it as a suspect if neither this instance nor the probers get an answer.
+    /// Exchanges records with `other`, and marks it as a suspect, or as dead if it was leaving, when neither
+    /// this instance nor the probers get an answer.
     async fn exchange_with(self: Rc<Self>, other: InstanceRecord) {
         if self.exchange(other.peer).await || other.state == InstanceState::Dead {
             return;
@@ -164,10 +165,10 @@
     }
 
     /// Merges the sender's record and those that it sent.
-    fn merge_records(&self, from: &InstanceRecord, news: &[InstanceRecord]) {
+    fn merge_records(&self, from: &InstanceRecord, updates: &[InstanceRecord]) {
         self.merge(from, None);
         self.has_contacted_others.set(true);
-        for record in news {
+        for record in updates {
             if record.id == self.id() {
                 self.refute(record);
                 continue;
