--- a/crates/gullspar_fleet/src/gossip.rs
+++ b/crates/gullspar_fleet/src/gossip.rs
@@ -69,7 +69,8 @@
         pool.get(index.checked_rem(pool.len())?).map(|it| (*it).clone())
     }
 
-    /// Exchanges records with `other`, and marks it as a suspect if neither this instance nor the probers get an answer.
+    /// Exchanges records with `other`, and marks it as a suspect, or as dead if it was leaving, when neither
+    /// this instance nor the probers get an answer.
     async fn exchange_with(self: Rc<Self>, other: InstanceRecord) {
         if self.exchange(other.peer).await || other.state == InstanceState::Dead {
             return;
