--- a/crates/gullspar_group/src/group_manager.rs
+++ b/crates/gullspar_group/src/group_manager.rs
@@ -11,10 +11,10 @@
 
 use crate::{GroupTiming, GroupWatch};
 
-/// How often the list of groups is looked over when nothing wakes the manager.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Interval between updates of the list of groups when nothing wakes the manager.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Starts and ends a [`GroupWatch`] for each group that this instance holds a member of.
+/// Starts and ends a [`GroupWatch`] for each group of which this instance is the home of a member.
 pub struct GroupManager {
     fleet: Rc<Fleet>,
     timing: GroupTiming,
@@ -22,52 +22,52 @@
 }
 
 impl GroupManager {
-    /// A manager that observes nothing yet.
+    /// Creates a manager that observes nothing until [`GroupManager::run`] is called.
     pub fn new(fleet: Rc<Fleet>, timing: GroupTiming) -> Rc<GroupManager> {
         Rc::new(GroupManager { fleet, timing, watches: RefCell::default() })
     }
 
-    /// The watch of a group, if this instance holds one of its members.
+    /// The watch of a group; `None` if the group is not observed here.
     pub fn watch(&self, group: &GroupName) -> Option<Rc<GroupWatch>> {
         self.watches.borrow().get(group).cloned()
     }
 
-    /// All watches.
+    /// All current watches.
     pub fn watches(&self) -> Vec<Rc<GroupWatch>> {
         self.watches.borrow().values().cloned().collect()
     }
 
-    /// Follows configuration and membership for as long as the task lives.
+    /// Starts and ends watches as the configuration and the members change. Never returns.
     pub async fn run(self: Rc<Self>) {
         loop {
             let config = self.fleet.config.listen();
             let members = self.fleet.listen();
             self.update();
             let clock = &self.fleet.borders().clock;
-            let deadline = clock.now() + LOOK_EVERY;
-            let either = futures::future::select(config, members);
-            // Whatever woke the manager, the next round looks at everything.
-            let _ = within(&**clock, deadline, either).await;
+            let deadline = clock.now() + UPDATE_INTERVAL;
+            let changed = futures::future::select(config, members);
+            // The update covers everything, whichever event woke the manager.
+            let _ = within(&**clock, deadline, changed).await;
         }
     }
 
     fn update(&self) {
-        let mut wanted = BTreeSet::new();
+        let mut held = BTreeSet::new();
         for (_, service) in self.fleet.config.services() {
             let spec = Rc::new(service.object.group.clone());
             if self.holds_any(&spec) {
-                wanted.insert(spec.name.clone());
-                self.keep(spec);
+                held.insert(spec.name.clone());
+                self.start_or_update(spec);
             }
         }
         for watch in self.watches() {
-            // The configuration tells of promotions, which some wait for.
+            // The configuration may have changed the leader that a request waits for.
             watch.wake();
         }
         self.watches.borrow_mut().retain(|name, watch| {
-            let keep = watch.is_kept(wanted.contains(name));
-            watch.ended.set(!keep);
-            keep
+            let is_needed = watch.is_needed(held.contains(name));
+            watch.ended.set(!is_needed);
+            is_needed
         });
     }
 
@@ -78,9 +78,10 @@
         })
     }
 
-    fn keep(&self, spec: Rc<GroupSpec>) {
-        let known = self.watch(&spec.name);
-        let watch = match known {
+    /// Starts the watch of a group, or applies a changed specification to it.
+    fn start_or_update(&self, spec: Rc<GroupSpec>) {
+        let existing = self.watch(&spec.name);
+        let watch = match existing {
             Some(watch) => watch,
             None => {
                 let name = spec.name.clone();
@@ -89,16 +90,16 @@
                 for member in &spec.members {
                     start_member(&watch, member.name.clone());
                 }
-                compio::runtime::spawn(Rc::clone(&watch).judge()).detach();
+                compio::runtime::spawn(Rc::clone(&watch).monitor_primary()).detach();
                 self.watches.borrow_mut().insert(spec.name.clone(), Rc::clone(&watch));
                 watch
             }
         };
-        let before = watch.spec();
-        if before != spec {
-            watch.adopt(spec);
-            let fresh = watch.spec();
-            for member in fresh.members.iter().filter(|it| before.member(&it.name).is_none()) {
+        let old = watch.spec();
+        if old != spec {
+            watch.update_spec(spec);
+            let new = watch.spec();
+            for member in new.members.iter().filter(|it| old.member(&it.name).is_none()) {
                 start_member(&watch, member.name.clone());
             }
         }
--- a/crates/gullspar_group/src/group_timing.rs
+++ b/crates/gullspar_group/src/group_timing.rs
@@ -1,24 +1,23 @@
-//! How closely groups are observed and how soon a failure is acted upon.
+//! Intervals and timeouts of observation and promotion.
 
 use std::time::Duration;
 
-/// The pace of observation and promotion.
+/// Intervals and timeouts of observation and promotion.
 ///
-/// The defaults are for today's sizes, where a failover gap under a second is wanted;
-/// `docs/CAPACITY.md` tells what they cost at the planned size.
+/// With the defaults a failover takes less than a second; `docs/CAPACITY.md` describes their cost with many groups.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupTiming {
-    /// How long a member may hold a status call back while nothing changes.
+    /// How long a member may delay the answer to a status call while nothing changes.
     pub status_wait: Duration,
-    /// Silence of a member that counts as a failure.
+    /// How long a member must be silent to count as failed.
     pub failed_after: Duration,
-    /// Silence that counts as a failure when the member refuses connections.
+    /// How long a member that refuses connections must be silent to count as failed.
     pub refused_after: Duration,
-    /// A claim that is not finished after this long is taken to be abandoned.
+    /// How long a claim may remain without a promotion before it counts as abandoned.
     pub claim_abandoned_after: Duration,
-    /// How much longer each further instance in the ranking waits before it claims.
+    /// How much longer each instance waits before it claims than the one ranked before it.
     pub claim_turn_delay: Duration,
-    /// How long any single step of a promotion may take.
+    /// How long each step of a promotion may take.
     pub step_timeout: Duration,
 }
 
--- a/crates/gullspar_group/src/group_watch.rs
+++ b/crates/gullspar_group/src/group_watch.rs
@@ -1,4 +1,4 @@
-//! One group as this instance observes it.
+//! The observed state of one group.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,24 +15,24 @@
 
 use crate::{GroupTiming, MemberView, PositionSample, PositionSamples};
 
-/// Who leads a group, as far as is known here.
+/// The leader of a group and the term that it leads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
     pub term: Term,
     pub member: MemberName,
 }
 
-/// The fate of a write that took effect on a primary.
+/// The final outcome of a write that a primary executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settled {
-    /// A majority holds it, under the term of the point.
+    /// A majority has the write, in the term of the point.
     Acknowledged(LogPoint),
-    /// The group's log does not hold it, and never will.
+    /// The group's log does not have the write and never will.
     Undone,
     Unknown(Unknown),
 }
 
-/// A request in flight that needs a group observed.
+/// Keeps a group observed while a request in flight needs it.
 pub struct WatchGuard {
     watch: Rc<GroupWatch>,
 }
@@ -47,11 +47,11 @@
 
 impl Drop for WatchGuard {
     fn drop(&mut self) {
-        self.watch.users.set(self.watch.users.get() - 1);
+        self.watch.guards.set(self.watch.guards.get() - 1);
     }
 }
 
-/// The state of a group that this instance holds at least one member of.
+/// The observed state of a group of which this instance is the home of at least one member.
 pub struct GroupWatch {
     pub(crate) name: GroupName,
     pub(crate) fleet: Rc<Fleet>,
@@ -59,12 +59,12 @@
     pub(crate) spec: RefCell<Rc<GroupSpec>>,
     pub(crate) views: RefCell<BTreeMap<MemberName, MemberView>>,
     position_samples: RefCell<PositionSamples>,
-    /// Before this instant silence proves nothing: this process itself was paused.
-    trust_silence_after: Cell<Instant>,
-    /// When the claim last seen on the platform was first seen.
-    pub(crate) claim_seen: Cell<(Term, Instant)>,
-    /// Requests in flight that need the group observed.
-    users: Cell<u32>,
+    /// Silence of members before this instant does not count, because this process was paused or has just started.
+    silence_counts_from: Cell<Instant>,
+    /// The newest claimed term seen on the platform, and when it was first seen.
+    pub(crate) last_claim: Cell<(Term, Instant)>,
+    /// Number of live [`WatchGuard`]s.
+    guards: Cell<u32>,
     changed: Event,
     pub(crate) ended: Cell<bool>,
 }
@@ -84,9 +84,9 @@
             views: RefCell::new(views.collect()),
             spec: RefCell::new(spec),
             position_samples: RefCell::default(),
-            trust_silence_after: Cell::new(now + timing.failed_after),
-            claim_seen: Cell::new((Term(0), now)),
-            users: Cell::new(0),
+            silence_counts_from: Cell::new(now + timing.failed_after),
+            last_claim: Cell::new((Term(0), now)),
+            guards: Cell::new(0),
             changed: Event::new(),
             ended: Cell::new(false),
             fleet,
@@ -111,28 +111,28 @@
         Rc::clone(&self.spec.borrow())
     }
 
-    /// What was last seen of a member.
+    /// The last known state of a member.
     pub fn view(&self, member: &MemberName) -> Option<MemberView> {
         self.views.borrow().get(member).copied()
     }
 
-    /// The leader: the highest term's, by what members say or by what the platform says.
+    /// The leader of the highest term that a member or the platform reports.
     pub fn leader(&self) -> Option<Leader> {
         let configured = self.fleet.config.group(&self.name).and_then(|it| {
             let member = it.object.primary.clone()?;
             Some(Leader { term: it.object.term, member })
         });
         let views = self.views.borrow();
-        let seen = views.iter().filter_map(|(member, view)| {
+        let reported = views.iter().filter_map(|(member, view)| {
             let status = view.status?;
-            let leads = status.leads(status.term);
-            leads.then(|| Leader { term: status.term, member: member.clone() })
+            let is_leader = status.leads(status.term);
+            is_leader.then(|| Leader { term: status.term, member: member.clone() })
         });
-        seen.chain(configured).max_by_key(|it| it.term)
+        reported.chain(configured).max_by_key(|it| it.term)
     }
 
-    /// Takes over a changed configuration of the group.
-    pub(crate) fn adopt(&self, spec: Rc<GroupSpec>) {
+    /// Applies a changed configuration of the group.
+    pub(crate) fn update_spec(&self, spec: Rc<GroupSpec>) {
         let now = self.now();
         let mut views = self.views.borrow_mut();
         views.retain(|name, _| spec.member(name).is_some());
@@ -144,29 +144,33 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Whether observation goes on, for a group of which this instance holds something or not.
+    /// Whether the group must still be observed, where `is_held` says whether this instance is the home of a member.
     ///
-    /// An instance that hands its targets on, as at a shutdown, still has writes in flight whose
-    /// acknowledgement only observation brings; ended at once, they would all end unknown. Kept on
-    /// for a fixed time instead, the observers of all former homes would fill the connections that
-    /// targets accept, seen as refusals with 53300 after each change of instances.
-    pub(crate) fn is_kept(&self, held: bool) -> bool {
-        held || self.users.get() > 0
+    /// An instance whose targets get another home, as at a shutdown, may still have writes in flight that need
+    /// observation to be acknowledged. Observation ends with the last of them rather than after a fixed time:
+    /// otherwise the observers of all former homes would use up the connections that targets accept.
+    pub(crate) fn is_needed(&self, is_held: bool) -> bool {
+        is_held || self.guards.get() > 0
     }
 
     /// Keeps the group observed for as long as the guard lives.
     pub fn guard(self: &Rc<Self>) -> WatchGuard {
-        self.users.set(self.users.get() + 1);
+        self.guards.set(self.guards.get() + 1);
         WatchGuard { watch: Rc::clone(self) }
     }
 
-    /// Lets whoever waits look again.
+    /// Wakes everything that waits for a change of the group.
     pub(crate) fn wake(&self) {
         self.changed.notify(usize::MAX);
     }
 
-    /// Notes an answer of a member.
-    pub(crate) fn heard(&self, member: &MemberName, status: MemberStatus, asked_at: Instant) {
+    /// Records a status that `member` returned to a request sent at `asked_at`.
+    pub(crate) fn record_response(
+        &self,
+        member: &MemberName,
+        status: MemberStatus,
+        asked_at: Instant,
+    ) {
         let now = self.now();
         {
             let mut views = self.views.borrow_mut();
@@ -175,27 +179,28 @@
                 status: Some(status),
                 asked_at,
                 last_response_at: now,
-                refusing: false,
+                is_refusing: false,
             };
         }
-        self.note_reading();
+        self.add_position_sample();
         self.changed.notify(usize::MAX);
     }
 
-    /// Notes that a member refuses connections.
-    pub(crate) fn refused(&self, member: &MemberName) {
+    /// Records that a member refuses connections.
+    pub(crate) fn record_refusal(&self, member: &MemberName) {
         if let Some(view) = self.views.borrow_mut().get_mut(member) {
-            view.refusing = true;
+            view.is_refusing = true;
         }
         self.changed.notify(usize::MAX);
     }
 
-    /// Notes that this process was paused: all silence until now may be its own.
-    pub(crate) fn was_paused(&self) {
-        self.trust_silence_after.set(self.now() + self.timing.failed_after);
+    /// Discounts the silence of all members until now, after a pause of this process.
+    pub(crate) fn discount_silence(&self) {
+        self.silence_counts_from.set(self.now() + self.timing.failed_after);
     }
 
-    fn note_reading(&self) {
+    /// Adds a position sample of the leader if a majority takes part in its term.
+    fn add_position_sample(&self) {
         let Some(leader) = self.leader() else { return };
         let Some(confirmed) = self.confirmed_as_of(leader.term) else { return };
         let Some(view) = self.view(&leader.member) else { return };
@@ -207,8 +212,7 @@
 
     /// The latest instant at which a majority is known to have taken part in `term`.
     ///
-    /// At that instant no higher term had fenced a majority, so nothing had been acknowledged
-    /// under one.
+    /// At that instant no higher term had fenced a majority, so no write had been acknowledged in a higher term.
     pub fn confirmed_as_of(&self, term: Term) -> Option<Instant> {
         let mut asked: Vec<Instant> = self
             .views
@@ -226,43 +230,43 @@
         self.confirmed_as_of(term).is_some_and(|it| self.elapsed(it) <= age)
     }
 
-    /// Whether a majority was heard lately taking part in `term`.
+    /// Whether a majority answered recently that it takes part in `term`.
     pub fn has_responsive_majority(&self, term: Term) -> bool {
         let now = self.now();
-        self.majority(|it| {
+        self.is_majority(|it| {
             it.is_recent(now, self.timing.failed_after)
                 && it.status.is_some_and(|it| it.takes_part_in(term))
         })
     }
 
-    /// Whether a majority of members is seen as `wanted`.
-    fn majority(&self, wanted: impl Fn(&MemberView) -> bool) -> bool {
-        let count = self.views.borrow().values().filter(|it| wanted(it)).count();
+    /// Whether `predicate` holds for a majority of the members.
+    fn is_majority(&self, predicate: impl Fn(&MemberView) -> bool) -> bool {
+        let count = self.views.borrow().values().filter(|it| predicate(it)).count();
         count >= self.spec.borrow().majority()
     }
 
-    /// Whether a majority was heard lately, whatever part its members play.
-    pub(crate) fn majority_reachable(&self) -> bool {
+    /// Whether a majority answered recently, in whatever role and term.
+    pub(crate) fn is_majority_reachable(&self) -> bool {
         let now = self.now();
-        self.majority(|it| it.is_recent(now, self.timing.failed_after))
+        self.is_majority(|it| it.is_recent(now, self.timing.failed_after))
     }
 
-    /// Whether a majority holds the log of `term` up to `position`.
+    /// Whether a majority has the log of `term` up to `position`.
     pub fn is_acknowledged(&self, term: Term, position: LogPosition) -> bool {
         if !Guard::MajorityHolds.holds() {
             return true;
         }
-        self.majority(|it| {
+        self.is_majority(|it| {
             it.status.is_some_and(|it| it.takes_part_in(term) && it.position >= position)
         })
     }
 
-    /// Waits until the fate of a write at `point` is certain.
+    /// Waits until the outcome of a write at `point` is certain, or until `deadline`.
     ///
-    /// A majority that holds it makes an answer an acknowledgement: whoever promotes later must first
-    /// fence a majority, which shares a member with this one, and takes the longest log it finds there.
-    /// When the term ends before that, the record of the next promotion tells whether the write is in
-    /// the log that was taken over; if it is, a majority of the new term must hold it.
+    /// A write is acknowledged once a majority has it: a later promotion first fences a majority, which shares a
+    /// member with this one, and selects the longest log in it. If the term ends before that, the history of the
+    /// group's object shows whether the new term's log includes the write; if so, a majority of the new term must
+    /// have it.
     pub async fn settle(&self, point: LogPoint, deadline: Instant) -> Settled {
         let settled = self.wait_until(deadline, || {
             if self.is_acknowledged(point.term, point.position) {
@@ -276,9 +280,9 @@
                 Some(false) => Some(Settled::Undone),
                 None => Some(Settled::Unknown(Unknown::Superseded)),
                 Some(true) => {
-                    let now = LogPoint { term: group.object.term, position: point.position };
-                    self.is_acknowledged(now.term, now.position)
-                        .then_some(Settled::Acknowledged(now))
+                    let current = LogPoint { term: group.object.term, position: point.position };
+                    self.is_acknowledged(current.term, current.position)
+                        .then_some(Settled::Acknowledged(current))
                 }
             }
         });
@@ -300,7 +304,7 @@
         .unwrap_or(Err(NotRun::NoMajority))
     }
 
-    /// Waits until `member` satisfies the floor and the age that a read asks for.
+    /// Waits until `member` satisfies the floor and the maximum age that a read requires.
     pub async fn wait_fresh(
         &self,
         member: &MemberName,
@@ -321,19 +325,20 @@
         .unwrap_or(Err(NotRun::Behind))
     }
 
-    /// How old a member's data is at most; `None` where no reading tells.
+    /// The maximum age of a member's data; `None` if no position sample covers it.
     pub fn age(&self, member: &MemberName) -> Option<Duration> {
         let status = self.view(member)?.status?;
         let as_of = self.position_samples.borrow().fresh_as_of(&status)?;
         Some(self.now().saturating_duration_since(as_of))
     }
 
-    /// How long ago `instant` was.
+    /// The time since `instant`.
     pub fn elapsed(&self, instant: Instant) -> Duration {
         self.now().saturating_duration_since(instant)
     }
 
-    /// Checks `ready` now and after each change until it tells, or the deadline passes.
+    /// Calls `ready` now and after each change until it returns `Some`. Returns `None` at the deadline or when the
+    /// watch has ended.
     pub(crate) async fn wait_until<T>(
         &self,
         deadline: Instant,
@@ -347,7 +352,7 @@
             if self.now() >= deadline || self.ended.get() {
                 return None;
             }
-            // Time running out is seen by the check above.
+            // The check above handles the deadline.
             let _ = within(&*self.borders().clock, deadline, changed).await;
         }
     }
@@ -357,20 +362,20 @@
         let Some(leader) = self.leader().filter(|it| it.term == term) else {
             return PrimaryView::NoView;
         };
-        if self.now() < self.trust_silence_after.get() || self.view(&leader.member).is_none() {
+        if self.now() < self.silence_counts_from.get() || self.view(&leader.member).is_none() {
             return PrimaryView::NoView;
         }
         if self.is_silent(&leader.member) { PrimaryView::Failed } else { PrimaryView::Answers }
     }
 
-    /// Whether a member was not heard of for so long that it counts as failed.
+    /// Whether a member has not answered for so long that it counts as failed.
     ///
-    /// Never after a pause of this process, whose own silence that may have been.
+    /// Always false shortly after this process was paused, since answers may have been missed during the pause.
     pub fn is_silent(&self, member: &MemberName) -> bool {
         let now = self.now();
         let Some(view) = self.view(member) else { return false };
-        let patience =
-            if view.refusing { self.timing.refused_after } else { self.timing.failed_after };
-        now >= self.trust_silence_after.get() && now > view.last_response_at + patience
+        let timeout =
+            if view.is_refusing { self.timing.refused_after } else { self.timing.failed_after };
+        now >= self.silence_counts_from.get() && now > view.last_response_at + timeout
     }
 }
--- a/crates/gullspar_group/src/lib.rs
+++ b/crates/gullspar_group/src/lib.rs
@@ -1,6 +1,6 @@
-//! Who leads a database group, and what its members have: observation, acknowledgement, promotion.
+//! Observation of database groups, acknowledgement of writes, and promotion of a new primary.
 //!
-//! The rules and the ways that were weighed are in `docs/design/acknowledgement.md` and
+//! The rules and the alternatives considered are in `docs/design/acknowledgement.md` and
 //! `docs/design/promotion.md`.
 
 mod group_manager;
--- a/crates/gullspar_group/src/member_view.rs
+++ b/crates/gullspar_group/src/member_view.rs
@@ -1,29 +1,29 @@
-//! What an instance has seen of a member.
+//! The last known state of a member.
 
 use std::time::{Duration, Instant};
 
 use gullspar_model::MemberStatus;
 
-/// The last answer of a member and when it was asked for and heard.
+/// The last answer of a member, with the times of its request and its arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberView {
     pub status: Option<MemberStatus>,
-    /// When the call was sent whose answer `status` is: the status is not older than this.
+    /// When the request for `status` was sent: the status is not older than this.
     pub asked_at: Instant,
-    /// When it was last heard of; the start of observation before the first answer.
+    /// When the last answer arrived; before the first answer, when observation began.
     pub last_response_at: Instant,
-    /// Whether its last sign was an outright refusal of the connection.
-    pub refusing: bool,
+    /// Whether the member has refused a connection since its last answer.
+    pub is_refusing: bool,
 }
 
 impl MemberView {
-    /// Nothing seen since `now`.
+    /// Creates the view of a member whose observation begins at `now`.
     pub fn new(now: Instant) -> MemberView {
-        MemberView { status: None, asked_at: now, last_response_at: now, refusing: false }
+        MemberView { status: None, asked_at: now, last_response_at: now, is_refusing: false }
     }
 
-    /// Whether the member was heard of less than `patience` before `now`.
-    pub(crate) fn is_recent(&self, now: Instant, patience: Duration) -> bool {
-        self.last_response_at + patience > now
+    /// Whether the member answered less than `timeout` before `now`.
+    pub(crate) fn is_recent(&self, now: Instant, timeout: Duration) -> bool {
+        self.last_response_at + timeout > now
     }
 }
--- a/crates/gullspar_group/src/observer.rs
+++ b/crates/gullspar_group/src/observer.rs
@@ -1,4 +1,4 @@
-//! Keeps one status call to a member open at all times.
+//! Observes a member by keeping one status call to it open at all times.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,22 +7,22 @@
 
 use crate::{GroupWatch, TargetControl, TargetError};
 
-/// Pause after a failed attempt to connect.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next attempt after a connection failed.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl GroupWatch {
     /// Observes `member` until the watch ends or the member leaves the group.
     ///
-    /// Each call is held back by the member until something changed, so that news comes as soon as
-    /// it is there and an idle group costs few messages.
+    /// The member delays its answer to each call until something changes, so that changes are reported at once
+    /// and an idle group needs few messages.
     pub(crate) async fn observe(self: Rc<Self>, member: MemberName) {
         while self.is_observed(&member) {
             let Err(err) = self.observe_connection(&member).await else { return };
-            if matches!(err, TargetError::Refusing(_)) {
-                self.refused(&member);
+            if matches!(err, TargetError::ConnectionRefused(_)) {
+                self.record_refusal(&member);
             }
             log::debug!("G0205 observing {}/{member} failed: {err}", self.name);
-            let deadline = self.now() + RETRY_PAUSE;
+            let deadline = self.now() + RETRY_DELAY;
             self.borders().clock.sleep_until(deadline).await;
         }
     }
@@ -42,22 +42,22 @@
             let asked_at = self.now();
             let deadline = asked_at + self.timing.status_wait + self.timing.failed_after;
             let wait_ms = self.timing.status_wait.as_millis() as u64;
-            let wake = self.wakes_on_position(member);
-            let status = control.status(known, wake, wait_ms, deadline).await?;
-            self.heard(member, status, asked_at);
+            let wake_on_position = self.should_wake_on_position(member);
+            let status = control.status(known, wake_on_position, wait_ms, deadline).await?;
+            self.record_response(member, status, asked_at);
             known = Some(status);
         }
         Ok(())
     }
 
-    /// Whether each new position of `member` matters here at once: its own home serves reads
-    /// that wait for it, the primary's home waits for acknowledgements.
-    fn wakes_on_position(&self, member: &MemberName) -> bool {
-        let holds = |it: &MemberName| {
+    /// Whether `member` must report each new position at once: its home has reads that wait for it, and the
+    /// primary's home has writes that wait for acknowledgement.
+    fn should_wake_on_position(&self, member: &MemberName) -> bool {
+        let is_home = |it: &MemberName| {
             let spec = self.spec.borrow();
             let key = TargetKey::new(&self.name, it);
             spec.member(it).is_some_and(|it| self.fleet.is_home(&key, &it.data_centre))
         };
-        holds(member) || self.leader().is_some_and(|it| holds(&it.member))
+        is_home(member) || self.leader().is_some_and(|it| is_home(&it.member))
     }
 }
--- a/crates/gullspar_group/src/position_samples.rs
+++ b/crates/gullspar_group/src/position_samples.rs
@@ -1,4 +1,4 @@
-//! How old a member's data is at most, told by our own clock alone.
+//! The maximum age of a member's data, measured by this instance's clock only.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -12,46 +12,47 @@
     pub point: LogPoint,
 }
 
-/// The last readings of the primary, oldest first.
+/// The last position samples of the primary, oldest first.
 ///
-/// A member that has reached a reading's position holds all that was acknowledged at its instant, so
-/// its data is no older than that. No clock of a target is asked. See `docs/design/staleness.md`.
+/// A member that has reached the position of a sample has everything that was acknowledged at the sample's
+/// instant, so its data is no older than that. The clocks of targets are not used. See
+/// `docs/design/staleness.md`.
 #[derive(Debug, Default)]
 pub struct PositionSamples {
-    readings: VecDeque<PositionSample>,
+    samples: VecDeque<PositionSample>,
 }
 
 impl PositionSamples {
-    /// Readings kept; with the spacing below they reach back six seconds and more.
-    const LIMIT: usize = 256;
+    /// Samples kept; with [`PositionSamples::MIN_SPACING`] they span at least six seconds.
+    const MAX_SAMPLES: usize = 256;
 
-    /// Readings closer together than this are not kept apart.
-    const SPACING: Duration = Duration::from_millis(25);
+    /// Minimum time between two samples with different positions.
+    const MIN_SPACING: Duration = Duration::from_millis(25);
 
-    /// Adds a reading if it is later than the last one.
-    pub fn add(&mut self, reading: PositionSample) {
-        if let Some(last) = self.readings.back() {
-            let same = last.point == reading.point;
-            if reading.as_of <= last.as_of {
+    /// Adds a sample if it is later than the last one.
+    pub fn add(&mut self, sample: PositionSample) {
+        if let Some(last) = self.samples.back() {
+            let is_unchanged = last.point == sample.point;
+            if sample.as_of <= last.as_of {
                 return;
             }
-            // An unchanged position is confirmed for a later instant: the older one tells nothing
-            // more. Otherwise readings are spaced, so that a busy group keeps no more of them.
-            if same {
-                self.readings.pop_back();
-            } else if reading.as_of < last.as_of + PositionSamples::SPACING {
+            // A later sample of the same position replaces the last one. Samples of different positions keep a
+            // minimum spacing, so that those of a busy group span the same time.
+            if is_unchanged {
+                self.samples.pop_back();
+            } else if sample.as_of < last.as_of + PositionSamples::MIN_SPACING {
                 return;
             }
         }
-        self.readings.push_back(reading);
-        if self.readings.len() > PositionSamples::LIMIT {
-            self.readings.pop_front();
+        self.samples.push_back(sample);
+        if self.samples.len() > PositionSamples::MAX_SAMPLES {
+            self.samples.pop_front();
         }
     }
 
-    /// The instant up to which `status` holds everything acknowledged, if any reading tells.
+    /// The latest instant up to which `status` has everything acknowledged; `None` if it covers no sample.
     pub fn fresh_as_of(&self, status: &MemberStatus) -> Option<Instant> {
-        let reached = self.readings.iter().rev().find(|it| status.covers(it.point));
+        let reached = self.samples.iter().rev().find(|it| status.covers(it.point));
         reached.map(|it| it.as_of)
     }
 }
--- a/crates/gullspar_group/src/promotion.rs
+++ b/crates/gullspar_group/src/promotion.rs
@@ -1,4 +1,4 @@
-//! Making another member the primary.
+//! Promotes another member to primary.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,30 +14,30 @@
 
 use crate::{GroupWatch, Leader, TargetControl, TargetError};
 
-/// How long to wait for further members once a majority is fenced: a longer log may be among them.
-const GRACE: Duration = Duration::from_millis(20);
+/// How long to wait for further members once a majority is fenced, since one of them may have a longer log.
+const FENCE_GRACE_PERIOD: Duration = Duration::from_millis(20);
 
-/// How long replicas may take to catch up with a primary that leaves in good order.
-const CATCH_UP_WITHIN: Duration = Duration::from_millis(1500);
+/// How long replicas may take to catch up with a primary that is leaving.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1500);
 
 quick_error! {
-    /// Why a promotion did not come about. The group is as safe as before, whatever the step.
+    /// Why a promotion failed. A failure at any step leaves the group consistent.
     #[derive(Debug)]
     pub enum PromotionError {
-        /// Somebody else was faster.
+        /// Another instance claimed or changed the leadership first.
         Overtaken {
             display("another instance changed the group's leadership")
         }
-        /// The platform did not take the claim.
+        /// The platform could not be read or did not store the object.
         Platform(err: PlatformError) {
             from()
             display("{err}")
         }
-        /// Too few members could be fenced.
+        /// Fewer than a majority of members could be fenced; holds their number.
         NoMajority(fenced: usize) {
             display("only {fenced} members could be fenced")
         }
-        /// The chosen member did not become the primary.
+        /// The selected member did not become the primary.
         Target(err: TargetError) {
             from()
             display("{err}")
@@ -66,38 +66,41 @@
     control: TargetControl,
 }
 
-/// One attempt to promote.
+/// One attempt to promote a member of a group.
 pub struct Promotion {
     watch: Rc<GroupWatch>,
 }
 
 impl Promotion {
-    /// An attempt for the group that `watch` observes.
+    /// Creates an attempt for the group that `watch` observes.
     pub fn new(watch: Rc<GroupWatch>) -> Promotion {
         Promotion { watch }
     }
 
-    /// Replaces the leader of `base`; does nothing if the group has moved on from it.
+    /// Replaces the leader of the term `base` and returns the new one.
+    ///
+    /// With `graceful`, the old primary is fenced first and the replicas catch up with it. Fails with
+    /// [`PromotionError::Overtaken`] if the group has a newer leader or claim.
     pub async fn run(&self, base: Term, graceful: bool) -> Result<Leader, PromotionError> {
         let claim = self.claim(base).await?;
-        reached(PromotionStep::Claimed);
+        pause_for_test(PromotionStep::Claimed);
         let term = claim.object.claimed;
         if graceful {
             self.let_replicas_catch_up(term, claim.object.primary.as_ref()).await;
         }
         let fenced = self.fence_majority(term).await?;
-        reached(PromotionStep::Fenced);
-        let (mut chosen, end) = most_advanced(fenced).ok_or(PromotionError::NoMajority(0))?;
+        pause_for_test(PromotionStep::Fenced);
+        let (mut selected, end) = most_advanced(fenced).ok_or(PromotionError::NoMajority(0))?;
         let deadline = self.watch.now() + self.watch.timing.step_timeout;
-        chosen.control.promote(term, deadline).await?;
-        reached(PromotionStep::Promoted);
-        let leader = Leader { term, member: chosen.spec.name };
+        selected.control.promote(term, deadline).await?;
+        pause_for_test(PromotionStep::Promoted);
+        let leader = Leader { term, member: selected.spec.name };
         self.record(claim, &leader, end).await?;
-        reached(PromotionStep::Recorded);
+        pause_for_test(PromotionStep::Recorded);
         Ok(leader)
     }
 
-    /// Claims the next term. The platform grants each term once, so two claimants never share one.
+    /// Claims the next term. The platform grants each term only once, so two instances never share a term.
     async fn claim(&self, base: Term) -> Result<Claim, PromotionError> {
         let key = self.key();
         let stored = self.watch.borders().platform.get(&key).await?;
@@ -111,14 +114,14 @@
         };
         let known = self.watch.fleet.config.group(&self.watch.name).map(|it| it.object.claimed);
         if object.claimed > known.unwrap_or_default() {
-            // Somebody claimed while this instance made up its mind. Claiming on top of that would
-            // fence what the other is about to promote.
-            self.take(version, &object);
+            // Another instance has claimed meanwhile. A further claim would fence the member that it is about to
+            // promote.
+            self.publish(version, &object);
             return Err(PromotionError::Overtaken);
         }
         if object.term > base {
-            // The group has a newer leader; taking it over brings us up to date.
-            self.take(version, &object);
+            // The group has a newer leader; publishing the object makes it known here.
+            self.publish(version, &object);
             return Err(PromotionError::Overtaken);
         }
         let nonce = self.watch.borders().entropy.next_u64();
@@ -128,11 +131,11 @@
             ..object
         };
         let version = self.put(version, &claimed).await?;
-        self.take(version, &claimed);
+        self.publish(version, &claimed);
         Ok(Claim { version, object: claimed })
     }
 
-    /// Writes the group's object, and reads it back when the answer is lost.
+    /// Writes the group's object, and reads it back if no answer arrives.
     async fn put(
         &self,
         expected: ObjectVersion,
@@ -144,19 +147,20 @@
             Ok(version) => Ok(version),
             Err(PlatformError::Conflict(_)) => Err(PromotionError::Overtaken),
             Err(PlatformError::NoAnswer(_)) => {
-                // The update may have taken effect. Taken for failed, a granted claim would be
-                // claimed again at a higher term for nothing; the nonce tells it apart.
+                // The update may have taken effect, and a granted claim must not be claimed again at a higher
+                // term. The nonce shows whether the stored claim is this one.
                 let stored = platform.get(&self.key()).await?;
-                let ours = stored.filter(|it| {
+                let own = stored.filter(|it| {
                     serde_json::from_str::<GroupObject>(&it.value).is_ok_and(|it| it == *object)
                 });
-                ours.map(|it| it.version).ok_or(PromotionError::Overtaken)
+                own.map(|it| it.version).ok_or(PromotionError::Overtaken)
             }
             Err(err) => Err(err.into()),
         }
     }
 
-    fn take(&self, version: ObjectVersion, object: &GroupObject) {
+    /// Applies the object here and spreads it to the other instances.
+    fn publish(&self, version: ObjectVersion, object: &GroupObject) {
         let entry = ConfigEntry { key: self.key(), version, value: to_json(object) };
         self.watch.fleet.spread(vec![entry]);
     }
@@ -165,26 +169,27 @@
         format!("{}{}", GroupObject::PREFIX, self.watch.name)
     }
 
-    /// Stops a leaving primary first, so that its replicas get all it has.
+    /// Fences a leaving primary first, so that its replicas can receive its whole log.
     async fn let_replicas_catch_up(&self, term: Term, primary: Option<&MemberName>) {
         let spec = self.watch.spec();
         let Some(primary) = primary.and_then(|it| spec.member(it)) else { return };
         let deadline = self.watch.now() + self.watch.timing.step_timeout;
-        // Without the primary's answer the promotion goes on as after a failure.
+        // Without an answer from the primary the promotion continues as after a failure.
         let Ok(fenced) = self.fence(primary.clone(), term, deadline).await else { return };
-        let deadline = self.watch.now() + CATCH_UP_WITHIN;
+        let deadline = self.watch.now() + CATCH_UP_TIMEOUT;
         self.watch
             .wait_until(deadline, || {
-                let behind = spec.members.iter().filter(|it| it.name != primary.name).any(|it| {
-                    let status = self.watch.view(&it.name).and_then(|it| it.status);
-                    status.is_none_or(|it| it.position < fenced.status.position)
-                });
-                (!behind).then_some(())
+                let is_behind =
+                    spec.members.iter().filter(|it| it.name != primary.name).any(|it| {
+                        let status = self.watch.view(&it.name).and_then(|it| it.status);
+                        status.is_none_or(|it| it.position < fenced.status.position)
+                    });
+                (!is_behind).then_some(())
             })
             .await;
     }
 
-    /// Makes a majority refuse all terms below `term`, and only then reads what they have.
+    /// Makes a majority refuse all terms below `term`, and returns the status of each member after that.
     async fn fence_majority(&self, term: Term) -> Result<Vec<FencedMember>, PromotionError> {
         let spec = self.watch.spec();
         let deadline = self.watch.now() + self.watch.timing.step_timeout;
@@ -196,7 +201,7 @@
         while let Ok(Some(result)) = within(&*clock, until, calls.next()).await {
             fenced.extend(result);
             if fenced.len() == spec.majority() {
-                until = deadline.min(self.watch.now() + GRACE);
+                until = deadline.min(self.watch.now() + FENCE_GRACE_PERIOD);
             }
         }
         if fenced.len() < spec.majority() {
@@ -219,7 +224,7 @@
         Ok(FencedMember { spec, status, control })
     }
 
-    /// Writes down who leads, so that all instances learn of it.
+    /// Records the new leader on the platform and spreads it to all instances.
     async fn record(
         &self,
         claim: Claim,
@@ -233,17 +238,18 @@
         let surplus = object.history.len().saturating_sub(GroupObject::HISTORY_LIMIT);
         object.history.drain(..surplus);
         let version = self.put(claim.version, &object).await?;
-        self.take(version, &object);
+        self.publish(version, &object);
         Ok(())
     }
 }
 
 fn to_json(object: &GroupObject) -> String {
-    // Plain fields and names only: there is nothing in it that JSON can't hold.
+    // The object has only strings and numbers, so serialisation does not fail.
     serde_json::to_string(object).unwrap_or_default()
 }
 
-/// The member with the longest log, a leaving one only where no other is as long.
+/// The member with the longest log, and the end of that log. A leaving member is selected only if no other log is
+/// as long.
 fn most_advanced(fenced: Vec<FencedMember>) -> Option<(FencedMember, LogPoint)> {
     let rank = |it: &FencedMember| (it.status.log_end(), !it.spec.leaving);
     let best = if Guard::LongestLog.holds() {
@@ -255,11 +261,11 @@
     Some((best, end))
 }
 
-/// Where a test may let the whole instance stand still, as a paused virtual machine does.
-fn reached(step: PromotionStep) {
-    /// Longer than it takes the others to notice and to act.
-    const PAUSE: Duration = Duration::from_millis(2500);
+/// Blocks the whole instance if a test asked for it after this step, as a paused virtual machine would.
+fn pause_for_test(step: PromotionStep) {
+    /// Long enough for the other instances to detect the pause and to act.
+    const PAUSE_PERIOD: Duration = Duration::from_millis(2500);
     if promotion_pauses_after(step as u32) {
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(PAUSE_PERIOD);
     }
 }
--- a/crates/gullspar_group/src/repair.rs
+++ b/crates/gullspar_group/src/repair.rs
@@ -1,4 +1,4 @@
-//! Bringing a member back under its primary.
+//! Makes diverged members follow the primary again.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,31 +7,37 @@
 
 use crate::{GroupWatch, TargetControl, TargetError};
 
-/// How often a member that is astray is looked at.
-const REPAIR_EVERY: Duration = Duration::from_millis(100);
+/// Interval between attempts to repair a diverged member.
+const REPAIR_INTERVAL: Duration = Duration::from_millis(100);
 
 impl GroupWatch {
-    /// Keeps `member` following whoever leads, while this instance is its home.
+    /// Keeps `member` following the group's leader while this instance is its home.
     ///
-    /// An old primary that comes back has a tail that nobody acknowledged and may still believe that
-    /// it leads. The member drops that tail when it follows: merged, it would show callers a write
-    /// that they were never promised, or a booking twice.
+    /// An old primary that returns may still act as the leader, and its log may end with writes that were never
+    /// acknowledged. It drops them when it follows the new primary; if they were merged, callers would see
+    /// unacknowledged writes, or a retried write twice.
     pub(crate) async fn repair(self: Rc<Self>, member: MemberName) {
         while !self.ended.get() && self.spec().member(&member).is_some() {
-            let deadline = self.now() + REPAIR_EVERY;
-            if self.is_astray(&member) {
-                if let Err(err) = self.attach(&member).await {
-                    log::debug!("G0210 {}/{member} could not be attached: {err}", self.name);
+            let deadline = self.now() + REPAIR_INTERVAL;
+            if self.has_diverged(&member) {
+                if let Err(err) = self.follow_leader(&member).await {
+                    log::debug!(
+                        "G0210 {}/{member} could not be made to follow the leader: {err}",
+                        self.name
+                    );
                 }
                 self.borders().clock.sleep_until(deadline).await;
             } else {
-                self.wait_until(deadline + REPAIR_EVERY, || self.is_astray(&member).then_some(()))
-                    .await;
+                self.wait_until(deadline + REPAIR_INTERVAL, || {
+                    self.has_diverged(&member).then_some(())
+                })
+                .await;
             }
         }
     }
 
-    fn is_astray(&self, member: &MemberName) -> bool {
+    /// Whether `member`, whose home this instance is, follows neither the leader nor its term.
+    fn has_diverged(&self, member: &MemberName) -> bool {
         let spec = self.spec();
         let Some(own) = spec.member(member) else { return false };
         let key = TargetKey::new(&self.name, member);
@@ -42,7 +48,7 @@
             && self.fleet.is_home(&key, &own.data_centre)
     }
 
-    async fn attach(&self, member: &MemberName) -> Result<(), TargetError> {
+    async fn follow_leader(&self, member: &MemberName) -> Result<(), TargetError> {
         let (Some(leader), Some(spec)) = (self.leader(), self.spec().member(member).cloned())
         else {
             return Ok(());
@@ -54,7 +60,7 @@
             TargetControl::open(&*borders.dialer, clock, spec.address, deadline).await?;
         let asked_at = self.now();
         let status = control.follow(leader.term, &leader.member, deadline).await?;
-        self.heard(member, status, asked_at);
+        self.record_response(member, status, asked_at);
         log::info!("G0211 {}/{member} follows {}", self.name, leader.member);
         Ok(())
     }
--- a/crates/gullspar_group/src/suspicion.rs
+++ b/crates/gullspar_group/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! Deciding that a primary has failed.
+//! Detects that a group needs another primary, and starts the promotion.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,134 +12,140 @@
 
 use crate::{GroupWatch, Leader, Promotion, TargetControl};
 
-/// How often the state of a group is judged.
-const JUDGE_EVERY: Duration = Duration::from_millis(50);
+/// Interval between checks of a group.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A longer gap between two looks means that this process was paused.
-const PAUSED: Duration = Duration::from_millis(300);
+/// A longer gap between two checks means that this process was paused.
+const PAUSED_AFTER: Duration = Duration::from_millis(300);
 
-/// How long the others may take to tell how they see a primary.
-const VIEWS_WITHIN: Duration = Duration::from_millis(150);
+/// How long other instances and the primary may take to answer before a promotion.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause after a promotion that did not succeed.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failed promotion.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Why a group needs another primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Need {
-    /// Nobody has led the group yet.
+enum PromotionReason {
+    /// The group has never had a primary.
     NoPrimary,
     /// The primary does not answer.
     Silent,
-    /// The primary answers, but does not lead the term any more.
+    /// The primary answers, but no longer leads its term.
     Deposed,
-    /// Somebody claimed a term and did not finish.
+    /// An instance claimed a term and did not complete the promotion.
     AbandonedClaim,
     /// The primary is configured to leave.
     Leaving,
 }
 
 impl GroupWatch {
-    /// Judges the group until the watch ends, and promotes when that is needed.
-    pub(crate) async fn judge(self: Rc<Self>) {
-        let mut last = self.now();
+    /// Checks the group at intervals until the watch ends, and promotes a member when it is needed.
+    pub(crate) async fn monitor_primary(self: Rc<Self>) {
+        let mut last_check = self.now();
         let mut needed_since: Option<Instant> = None;
         while !self.ended.get() {
             let now = self.now();
-            if now > last + PAUSED {
-                // What looks like everybody's silence was our own: judged on it, a paused instance
-                // would depose a healthy primary the moment it wakes.
+            if now > last_check + PAUSED_AFTER {
+                // During the pause all members seemed silent. An instance that acted on it would depose a healthy
+                // primary as soon as it runs again.
                 log::info!(
-                    "G0206 this instance was paused, silence of {} is discounted",
+                    "G0206 this instance was paused; the silence of {} during the pause is discounted",
                     self.name
                 );
-                self.was_paused();
+                self.discount_silence();
                 needed_since = None;
             }
-            last = now;
-            match self.need() {
+            last_check = now;
+            match self.promotion_reason() {
                 None => needed_since = None,
-                Some(need) => {
+                Some(reason) => {
                     let since = *needed_since.get_or_insert(now);
-                    if now >= since + self.patience(need) && self.others_agree(need).await {
-                        self.promote(need).await;
+                    if now >= since + self.claim_delay(reason) && self.is_confirmed(reason).await {
+                        self.promote(reason).await;
                         needed_since = None;
-                        // The next look must not take the promotion for a pause.
-                        last = self.now();
+                        // The time that the promotion took must not count as a pause.
+                        last_check = self.now();
                     }
                 }
             }
-            let next = self.now() + JUDGE_EVERY;
-            self.borders().clock.sleep_until(next).await;
+            let next_check = self.now() + CHECK_INTERVAL;
+            self.borders().clock.sleep_until(next_check).await;
         }
     }
 
-    fn need(&self) -> Option<Need> {
+    /// Why the group needs another primary now; `None` if it needs none or one is being promoted.
+    fn promotion_reason(&self) -> Option<PromotionReason> {
         let group = self.fleet.config.group(&self.name);
         let object = group.as_ref().map(|it| Rc::clone(&it.object));
-        let claimed_ahead = object.as_ref().is_some_and(|it| it.claimed > it.term);
+        let has_open_claim = object.as_ref().is_some_and(|it| it.claimed > it.term);
         if object.as_ref().is_some_and(|it| self.is_being_promoted(it)) {
             return None;
         }
         let Some(leader) = self.leader() else {
-            return Some(if claimed_ahead { Need::AbandonedClaim } else { Need::NoPrimary });
+            return Some(if has_open_claim {
+                PromotionReason::AbandonedClaim
+            } else {
+                PromotionReason::NoPrimary
+            });
         };
         if self.view_of_primary(leader.term) == PrimaryView::Failed {
-            return Some(Need::Silent);
+            return Some(PromotionReason::Silent);
         }
         let status = self.view(&leader.member).and_then(|it| it.status);
         if status.is_some_and(|it| !it.leads(leader.term)) {
-            return Some(Need::Deposed);
+            return Some(PromotionReason::Deposed);
         }
-        if claimed_ahead && object.is_some_and(|it| it.claimed > leader.term) {
-            return Some(Need::AbandonedClaim);
+        if has_open_claim && object.is_some_and(|it| it.claimed > leader.term) {
+            return Some(PromotionReason::AbandonedClaim);
         }
-        self.leaving_can_be_replaced(&leader).then_some(Need::Leaving)
+        self.can_replace_leaving(&leader).then_some(PromotionReason::Leaving)
     }
 
-    /// Whether another instance claimed a term so lately that it is probably at work.
+    /// Whether another instance has claimed a term so recently that it is probably promoting.
     ///
-    /// Without this check every instance that sees the failure claims on top of the others' claims,
-    /// each claim fences the members that the one before was about to promote, and none succeeds.
+    /// Without this check each instance that detects the failure would add a claim of its own. Each claim fences the
+    /// members that the previous claimant was about to promote, so that no promotion succeeds.
     fn is_being_promoted(&self, object: &GroupObject) -> bool {
         if object.claimed <= object.term || object.claim.starts_with(self.fleet.id().as_str()) {
             return false;
         }
         let now = self.now();
-        let (term, seen_at) = self.claim_seen.get();
+        let (term, seen_at) = self.last_claim.get();
         if term != object.claimed {
-            self.claim_seen.set((object.claimed, now));
+            self.last_claim.set((object.claimed, now));
             return true;
         }
         now < seen_at + self.timing.claim_abandoned_after
     }
 
-    fn leaving_can_be_replaced(&self, leader: &Leader) -> bool {
+    /// Whether `leader` is leaving or was removed, and a replica that stays takes part in its term.
+    fn can_replace_leaving(&self, leader: &Leader) -> bool {
         let spec = self.spec();
-        let leaving = spec.member(&leader.member).is_none_or(|it| it.leaving);
+        let is_leaving = spec.member(&leader.member).is_none_or(|it| it.leaving);
         let views = self.views.borrow();
-        let able = spec.members.iter().filter(|it| !it.leaving).any(|it| {
+        let has_successor = spec.members.iter().filter(|it| !it.leaving).any(|it| {
             let status = views.get(&it.name).and_then(|it| it.status);
             status.is_some_and(|it| it.role == MemberRole::Replica && it.takes_part_in(leader.term))
         });
-        leaving && able
+        is_leaving && has_successor
     }
 
-    /// How long a need must last before this instance acts.
+    /// How long a reason must persist before this instance claims.
     ///
-    /// The instances that hold members take turns, so that two claims at once are rare; safety does
-    /// not depend on it.
-    fn patience(&self, need: Need) -> Duration {
-        let base = match need {
-            Need::Silent => Duration::ZERO,
-            Need::Leaving | Need::NoPrimary => 2 * JUDGE_EVERY,
-            Need::Deposed => self.timing.failed_after,
-            Need::AbandonedClaim => self.timing.step_timeout,
+    /// The delay grows with the instance's rank, which makes simultaneous claims rare; safety does not depend on it.
+    fn claim_delay(&self, reason: PromotionReason) -> Duration {
+        let base = match reason {
+            PromotionReason::Silent => Duration::ZERO,
+            PromotionReason::Leaving | PromotionReason::NoPrimary => 2 * CHECK_INTERVAL,
+            PromotionReason::Deposed => self.timing.failed_after,
+            PromotionReason::AbandonedClaim => self.timing.step_timeout,
         };
-        base + self.timing.claim_turn_delay * self.turn()
+        base + self.timing.claim_turn_delay * self.claim_rank()
     }
 
-    fn turn(&self) -> u32 {
+    /// This instance's rank among the homes of the group's members, in an order that differs by group.
+    fn claim_rank(&self) -> u32 {
         let mut homes: Vec<InstanceId> =
             self.member_homes().iter().map(|it| it.id.clone()).collect();
         homes.dedup();
@@ -159,48 +165,49 @@
         homes.collect()
     }
 
-    /// Whether the homes of a majority of members see the primary as failed, and it still does not
-    /// answer a fresh call.
+    /// Whether a promotion for `reason` may begin. A silent primary is replaced only if the homes of a majority of
+    /// members see it as failed and it does not answer another call.
     ///
-    /// One instance's broken link must not depose a primary that everybody else reaches. An instance
-    /// whose data centre was cut off believes all others dead and itself the home of everything;
-    /// without the fresh call it would depose the primary the moment the links are back.
-    async fn others_agree(&self, need: Need) -> bool {
-        if need == Need::Deposed {
-            return self.is_deposed_for_sure().await;
+    /// One instance's broken link must not depose a primary that all others reach. An instance whose data centre
+    /// was partitioned considers all others dead and itself the home of every member; without the call it would
+    /// depose the primary as soon as the partition ends.
+    async fn is_confirmed(&self, reason: PromotionReason) -> bool {
+        if reason == PromotionReason::Deposed {
+            return self.is_confirmed_deposed().await;
         }
-        if need != Need::Silent {
+        if reason != PromotionReason::Silent {
             return true;
         }
         let Some(leader) = self.leader() else { return false };
         if !Guard::FreshCall.holds() {
-            let deadline = self.now() + VIEWS_WITHIN;
-            return self.majority_agrees(&leader, deadline).await;
+            let deadline = self.now() + CONFIRMATION_TIMEOUT;
+            return self.has_agreeing_majority(&leader, deadline).await;
         }
-        if !self.majority_reachable() {
+        if !self.is_majority_reachable() {
             return false;
         }
-        let deadline = self.now() + VIEWS_WITHIN;
-        let (answer, agreed) = futures::join!(
-            self.answers_now(&leader, deadline),
-            self.majority_agrees(&leader, deadline)
+        let deadline = self.now() + CONFIRMATION_TIMEOUT;
+        let (status, is_agreed) = futures::join!(
+            self.query_leader(&leader, deadline),
+            self.has_agreeing_majority(&leader, deadline)
         );
-        agreed && answer.is_none() && self.need() == Some(Need::Silent)
+        is_agreed && status.is_none() && self.promotion_reason() == Some(PromotionReason::Silent)
     }
 
-    /// Whether the primary itself says in a fresh call that it does not lead.
+    /// Whether the primary answers another call that it does not lead.
     ///
-    /// An instance that was cut off learns of a new term before it hears from that term's primary; what
-    /// it last saw of that member is the replica of before. Acting on it would depose a primary that
-    /// everybody else sees leading.
-    async fn is_deposed_for_sure(&self) -> bool {
+    /// An instance that was partitioned may learn of a new term before that term's primary answers, and still has
+    /// the primary's old status as a replica. Acting on it would depose a working primary.
+    async fn is_confirmed_deposed(&self) -> bool {
         let Some(leader) = self.leader() else { return false };
-        let deadline = self.now() + VIEWS_WITHIN;
-        let answer = self.answers_now(&leader, deadline).await;
-        answer.is_some_and(|it| !it.leads(leader.term)) && self.need() == Some(Need::Deposed)
+        let deadline = self.now() + CONFIRMATION_TIMEOUT;
+        let status = self.query_leader(&leader, deadline).await;
+        status.is_some_and(|it| !it.leads(leader.term))
+            && self.promotion_reason() == Some(PromotionReason::Deposed)
     }
 
-    async fn answers_now(&self, leader: &Leader, deadline: Instant) -> Option<MemberStatus> {
+    /// Asks the leader for its status on a new connection; `None` if it does not answer in time.
+    async fn query_leader(&self, leader: &Leader, deadline: Instant) -> Option<MemberStatus> {
         let spec = self.spec();
         let member = spec.member(&leader.member)?;
         let borders = self.borders();
@@ -209,11 +216,12 @@
         let mut control = opened.ok()?;
         let asked_at = self.now();
         let status = control.status(None, false, 0, deadline).await.ok()?;
-        self.heard(&leader.member, status, asked_at);
+        self.record_response(&leader.member, status, asked_at);
         Some(status)
     }
 
-    async fn majority_agrees(&self, leader: &Leader, deadline: Instant) -> bool {
+    /// Whether the homes of a majority of members see `leader` as failed.
+    async fn has_agreeing_majority(&self, leader: &Leader, deadline: Instant) -> bool {
         let homes = self.member_homes();
         let own = self.fleet.id();
         let majority = self.spec.borrow().majority();
@@ -239,10 +247,10 @@
         votes >= majority
     }
 
-    async fn promote(self: &Rc<Self>, need: Need) {
-        log::warn!("G0207 {} needs another primary: {need:?}", self.name);
+    async fn promote(self: &Rc<Self>, reason: PromotionReason) {
+        log::warn!("G0207 {} needs another primary: {reason:?}", self.name);
         let base = self.leader().map_or(GroupObject::unclaimed().term, |it| it.term);
-        let graceful = matches!(need, Need::Leaving);
+        let graceful = matches!(reason, PromotionReason::Leaving);
         match Promotion::new(Rc::clone(self)).run(base, graceful).await {
             Ok(leader) => {
                 log::warn!(
@@ -253,9 +261,9 @@
                 );
             }
             Err(err) => {
-                log::warn!("G0209 promoting in {} failed: {err}", self.name);
-                let pause = gullspar_border::jittered(&*self.borders().entropy, RETRY_PAUSE);
-                let deadline = self.now() + pause;
+                log::warn!("G0209 the promotion of a member of {} failed: {err}", self.name);
+                let delay = gullspar_border::jittered(&*self.borders().entropy, RETRY_DELAY);
+                let deadline = self.now() + delay;
                 self.borders().clock.sleep_until(deadline).await;
             }
         }
--- a/crates/gullspar_group/src/target_control.rs
+++ b/crates/gullspar_group/src/target_control.rs
@@ -1,4 +1,4 @@
-//! The control functions of a target, as described in `docs/design/target-contract.md`.
+//! Client for the control functions of a target; see `docs/design/target-contract.md`.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,22 +10,22 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a target did not do what was asked.
+    /// Why a control call failed.
     #[derive(Debug)]
     pub enum TargetError {
-        /// It could not be reached, or broke off.
+        /// The target could not be reached, or the connection broke.
         Unreachable(reason: String) {
             display("the target can't be reached: {reason}")
         }
-        /// It refuses connections outright, as a stopped one does.
-        Refusing(reason: String) {
+        /// The target refuses connections, as a stopped one does.
+        ConnectionRefused(reason: String) {
             display("the target refuses connections: {reason}")
         }
-        /// It did not answer in time.
+        /// The target did not answer in time.
         Silent {
             display("the target did not answer in time")
         }
-        /// It answered that it will not do it.
+        /// The target answered with an error.
         Refused(reason: String) {
             display("the target refused: {reason}")
         }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Asks a target for its status without waiting.
+/// The query for a target's status that is answered without waiting for a change.
 pub const STATUS_QUERY: &str = "SELECT group_status(0, 0, 0, 0)";
 
 /// A control connection to one target.
@@ -63,18 +63,21 @@
     ) -> Result<TargetControl, TargetError> {
         let link = dialer.dial(address, deadline).await.map_err(|err| match err.kind() {
             std::io::ErrorKind::TimedOut => TargetError::Silent,
-            _ => TargetError::Refusing(err.to_string()),
+            _ => TargetError::ConnectionRefused(err.to_string()),
         })?;
         let start = QueryClient::start(link, TargetControl::USER, "postgres");
         let started = within(&*clock, deadline, start).await.map_err(|_| TargetError::Silent)?;
         let client = started.map_err(|err| match err {
-            WireError::Closed | WireError::Io(_) => TargetError::Refusing(err.to_string()),
+            WireError::Closed | WireError::Io(_) => TargetError::ConnectionRefused(err.to_string()),
             other => other.into(),
         })?;
         Ok(TargetControl { client, clock })
     }
 
-    /// Waits for a status other than `known`, at most `wait_ms`.
+    /// Waits for a status that differs from `known`, for at most `wait_ms` milliseconds.
+    ///
+    /// Without a `known` status the target answers at once. A changed position counts as a difference only with
+    /// `wake_on_position`.
     pub async fn status(
         &mut self,
         known: Option<MemberStatus>,
@@ -82,12 +85,13 @@
         wait_ms: u64,
         deadline: Instant,
     ) -> Result<MemberStatus, TargetError> {
-        /// A position that no log reaches, for those that don't want to be woken by it.
-        const NEVER: u64 = i64::MAX as u64;
+        /// A position that no log reaches, so that a changed position does not end the wait.
+        const UNREACHABLE_POSITION: u64 = i64::MAX as u64;
         let sql = match known {
             None => STATUS_QUERY.to_owned(),
             Some(known) => {
-                let position = if wake_on_position { known.position.0 } else { NEVER };
+                let position =
+                    if wake_on_position { known.position.0 } else { UNREACHABLE_POSITION };
                 format!(
                     "SELECT group_status({}, {}, {position}, {wait_ms})",
                     known.term.0, known.fence.0
@@ -97,7 +101,7 @@
         self.call(&sql, deadline).await
     }
 
-    /// Makes the target refuse all lower terms, and reads what it has after that.
+    /// Makes the target refuse all terms below `term`, and returns its status after that.
     pub async fn fence(
         &mut self,
         term: Term,
@@ -106,7 +110,7 @@
         self.call(&format!("SELECT group_fence({})", term.0), deadline).await
     }
 
-    /// Makes the target the primary of a term that it was fenced at.
+    /// Makes the target the primary of the term that it was fenced at.
     pub async fn promote(
         &mut self,
         term: Term,
@@ -115,7 +119,7 @@
         self.call(&format!("SELECT group_promote({})", term.0), deadline).await
     }
 
-    /// Makes the target follow the primary of a term, dropping what that one doesn't have.
+    /// Makes the target follow the primary of a term and drop records that the primary does not have.
     pub async fn follow(
         &mut self,
         term: Term,
@@ -132,12 +136,12 @@
             .await
             .map_err(|_| TargetError::Silent)??;
         let row = rows.first().and_then(parse_status);
-        row.ok_or_else(|| TargetError::Refused("the status can't be read".to_owned()))
+        row.ok_or_else(|| TargetError::Refused("the status could not be parsed".to_owned()))
     }
 }
 
-/// Reads the row that every control function answers with: one composite value, as
-/// `(primary,3,3,3,417)`. One column keeps the answers short; they are most of what control costs.
+/// Parses the row that every control function returns: one composite value such as `(primary,3,3,3,417)`, with
+/// role, term, fence, term of the last record and position. `None` if the row has another form.
 pub fn parse_status(row: &QueryRow) -> Option<MemberStatus> {
     let text = row.first()?.as_deref()?.strip_prefix('(')?.strip_suffix(')')?;
     let mut fields = text.split(',');
