--- a/crates/gullspar_group/src/group_timing.rs
+++ b/crates/gullspar_group/src/group_timing.rs
@@ -4,7 +4,7 @@
 
 /// Intervals and timeouts of observation and promotion.
 ///
-/// With the defaults a failover takes less than a second; `docs/CAPACITY.md` describes their cost with many groups.
+/// The defaults aim at failovers of less than a second; `docs/CAPACITY.md` describes their cost at the planned size.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupTiming {
     /// How long a member may delay the answer to a status call while nothing changes.
--- a/crates/gullspar_group/src/promotion.rs
+++ b/crates/gullspar_group/src/promotion.rs
@@ -244,7 +244,7 @@
 }
 
 fn to_json(object: &GroupObject) -> String {
-    // The object has only strings and numbers, so serialisation does not fail.
+    // Every field of the object can be represented in JSON, so serialisation does not fail.
     serde_json::to_string(object).unwrap_or_default()
 }
 
--- a/crates/gullspar_group/src/repair.rs
+++ b/crates/gullspar_group/src/repair.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether `member`, whose home this instance is, follows neither the leader nor its term.
+    /// Whether `member` does not take part in the leader's term and this instance is its home.
     fn has_diverged(&self, member: &MemberName) -> bool {
         let spec = self.spec();
         let Some(own) = spec.member(member) else { return false };
--- a/crates/gullspar_group/src/suspicion.rs
+++ b/crates/gullspar_group/src/suspicion.rs
@@ -194,7 +194,7 @@
         is_agreed && status.is_none() && self.promotion_reason() == Some(PromotionReason::Silent)
     }
 
-    /// Whether the primary answers another call that it does not lead.
+    /// Whether the primary itself, asked once more, answers that it does not lead.
     ///
     /// An instance that was partitioned may learn of a new term before that term's primary answers, and still has
     /// the primary's old status as a replica. Acting on it would depose a working primary.
