--- a/crates/gullspar_direct/src/groups/candidate_selection.rs
+++ b/crates/gullspar_direct/src/groups/candidate_selection.rs
@@ -41,7 +41,7 @@
             return None;
         }
         let waits_for_catch_up =
-            cause == FailoverCause::Leaving && self.borders.clock.now() < began + CATCH_UP_TIMEOUT;
+            cause == FailoverCause::Leaves && self.borders.clock.now() < began + CATCH_UP_TIMEOUT;
         let newest = self.group.newest_position_sample().map(|it| it.point);
         if waits_for_catch_up && best.point < newest { None } else { Some(best.clone()) }
     }
--- a/crates/gullspar_direct/src/groups/failover.rs
+++ b/crates/gullspar_direct/src/groups/failover.rs
@@ -22,11 +22,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailoverCause {
     /// The platform no longer lists the leader.
-    Removed,
+    Gone,
     /// The leader has announced that it will leave.
-    Leaving,
+    Leaves,
     /// At least half of the instances get no answer from the leader.
-    Unresponsive,
+    Dark,
     /// Members answer, and none of them leads.
     NoLeader,
 }
@@ -91,11 +91,11 @@
                 .then_some(FailoverCause::NoLeader);
         };
         match self.group.target(&leader.member) {
-            None => Some(FailoverCause::Removed),
+            None => Some(FailoverCause::Gone),
             Some(target) if target.is_unresponsive() => {
-                self.is_agreed(Some(&leader.member)).then_some(FailoverCause::Unresponsive)
+                self.is_agreed(Some(&leader.member)).then_some(FailoverCause::Dark)
             }
-            Some(target) if target.spec().leaving => Some(FailoverCause::Leaving),
+            Some(target) if target.spec().leaving => Some(FailoverCause::Leaves),
             Some(_) => None,
         }
     }
