--- a/crates/gullspar_direct/tests/claims.rs
+++ b/crates/gullspar_direct/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Who promotes, by the claims in the store and with orders that get lost.
+//! Which instance orders a promotion, decided by claims in the store, also when orders or answers are lost.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -10,16 +10,13 @@
 use gullspar_model::Term;
 use support::{Fault, LATEST, LEASE, REPLACED_WITHIN, World, leader_of, pause, run, until};
 
-/// How often a promotion is ordered with one token while no answer comes.
-const ORDERS_IN_A_ROW: u32 = 4;
+/// Number of times that an unanswered order is sent with the same token.
+const ORDERS_PER_TOKEN: u32 = 4;
 
-/// Symptom: a group changes its leader three times within half a second, and two instances promote in
-/// turn.
-/// Events: one instance orders a promotion, which takes a while to show; the turns of the next instances
-/// come meanwhile, they find the claim of the first, replace it and promote another member.
-/// Cause: a claim that had just been made did not keep others from claiming.
+/// Guards against several instances promoting one after another: a claim made a moment ago must keep the others from
+/// claiming until its promotion takes effect.
 #[test]
-fn instances_do_not_promote_in_turn() {
+fn a_recent_claim_keeps_other_instances_from_promoting() {
     run(async {
         let world = World::new();
         world.promoter.takes_ms.set(1200);
@@ -33,9 +30,8 @@
     });
 }
 
-/// Symptom: a promotion is ordered with a token that belongs to nobody, or never.
-/// Events: the store makes the claim and its answer is lost.
-/// Cause: the claim was neither read back nor made anew.
+/// Guards against a promotion that is ordered with a token that belongs to no claim, or never ordered, after the store
+/// made the claim and its answer was lost.
 #[test]
 fn a_claim_whose_answer_is_lost_is_read_back() {
     run(async {
@@ -48,15 +44,14 @@
     });
 }
 
-/// Symptom: a group stays without a leader although the platform is there again.
-/// Events: an order gets no answer and is never carried out.
-/// Cause: an unanswered order was taken for a promotion under way, for ever.
+/// Guards against a group that stays without a leader because an order that was never carried out counts as a
+/// promotion in progress forever.
 #[test]
-fn an_order_that_is_lost_is_given_again_with_a_higher_token() {
+fn a_lost_order_is_repeated_with_a_higher_token() {
     run(async {
         let world = World::new();
         let _proxies = world.instances(2).await;
-        world.promoter.ignores.set(ORDERS_IN_A_ROW);
+        world.promoter.ignores.set(ORDERS_PER_TOKEN);
         world.group.set(0, Fault::Dark);
         world.succeeded("m0", 2 * REPLACED_WITHIN).await;
         let orders = world.promoter.orders();
@@ -65,28 +60,26 @@
     });
 }
 
-/// Symptom: a group has no leader for 2.7 s longer than a promotion takes.
-/// Events: the order gets no answer; whether it is carried out can't be told.
-/// Cause: it was waited for as long as one that was answered takes to show.
+/// Guards against waiting for an unanswered order as long as an accepted one takes to show.
 #[test]
-fn an_order_without_an_answer_is_given_again_at_once() {
+fn an_unanswered_order_is_repeated_at_once() {
     run(async {
         let world = World::new();
         let _proxies = world.instances(2).await;
-        world.promoter.ignores.set(ORDERS_IN_A_ROW - 1);
+        world.promoter.ignores.set(ORDERS_PER_TOKEN - 1);
         world.group.set(0, Fault::Dark);
         until(REPLACED_WITHIN, "a promotion is ordered", || !world.promoter.orders().is_empty())
             .await;
         world.succeeded("m0", 600).await;
         let orders = world.promoter.orders();
-        assert_eq!(orders.len(), ORDERS_IN_A_ROW as usize);
+        assert_eq!(orders.len(), ORDERS_PER_TOKEN as usize);
         assert!(orders.iter().all(|it| *it == orders[0]), "{orders:?}");
     });
 }
 
-/// While the store is away nobody is promoted, and a leader that comes back is used at once.
+/// Guards against a promotion while the store is unavailable, and against not using a leader that recovers meanwhile.
 #[test]
-fn without_the_store_a_leader_is_waited_for() {
+fn without_the_store_no_member_is_promoted_and_the_leader_is_awaited() {
     run(async {
         let world = World::new();
         let proxies = world.instances(2).await;
@@ -95,42 +88,40 @@
         pause(2000).await;
         assert_eq!(world.promoter.orders(), []);
         world.group.mend(0);
-        until(1000, "it is usable", || leader_of(&proxies[0]) == Some("m0".into())).await;
+        until(1000, "the leader is used again", || leader_of(&proxies[0]) == Some("m0".into()))
+            .await;
         pause(200).await;
         world.caller(&proxies[0], LATEST).await.done("WRITE slot mine").await;
     });
 }
 
-/// Symptom: an instance that starts promotes over one that is in the middle of it.
-/// Events: the claim in the store is of an instance that lives, and was made just now.
-/// Cause: only claims that were heard of before were respected.
+/// Guards against an instance that overrides the recent claim of a live instance because it first sees that claim in
+/// the store.
 #[test]
-fn a_claim_first_seen_in_the_store_is_respected_while_its_holder_lives() {
+fn a_claim_first_seen_in_the_store_is_respected_while_its_holder_is_alive() {
     run(async {
         let world = World::new();
         let proxies = world.instances(2).await;
-        let other = proxies[1].groups().len();
-        assert_eq!(other, 1);
+        let group_count = proxies[1].groups().len();
+        assert_eq!(group_count, 1);
         world.claims.put(Claim {
             holder: "instance-2".into(),
             member: "m1".into(),
             nonce: "made by hand".to_owned(),
             over_term: Term(0),
         });
-        // Only instance 1 sees the leader dark; instance 2 is silent about it, and they are two.
+        // Only instance 1, one of two, sees the leader as unresponsive; instance 2 does not report it.
         world.group.set(0, Fault::DarkTo(1));
         pause(1000).await;
-        let by_one =
+        let by_first =
             world.promoter.orders().into_iter().filter(|it| it.holder == "instance-1".into());
-        assert_eq!(by_one.count(), 0);
+        assert_eq!(by_first.count(), 0);
     });
 }
 
-/// Symptom: a group stays without a leader for ever.
-/// Events: another writer puts something into the store where the group's claim belongs; the leader fails.
-/// Cause: what was no claim could neither be read nor claimed over.
+/// Guards against a group that stays without a leader because the store holds an invalid value in place of its claim.
 #[test]
-fn what_is_no_claim_is_claimed_over() {
+fn an_invalid_claim_in_the_store_is_replaced() {
     run(async {
         let world = World::new();
         let garbage = world.claims.put_garbage();
@@ -141,31 +132,25 @@
     });
 }
 
-/// Symptom: statements reach a target seven seconds after it said that it leaves, although three instances of
-/// nine could promote another leader all the time.
-/// Events: an instance promotes; long after, its leader leaves while the store answers that instance no more; it
-/// tries in vain; the others find its claim, and wait for it.
-/// Cause: whoever read the claim took its holder for one that had just acted, so that its time alone began
-/// anew with every look and never ended while it lived.
-/// Evidence: the claim was 16 s old, no instance that reached the store logged a try, and the promotion was ordered by
-/// the holder itself, 0.8 s after the store answered it again and 6.2 s after the announcement.
+/// Guards against waiting for the holder of an old claim that the store no longer answers: reading the claim again
+/// must not restart the time for which only its holder may promote.
 #[test]
-fn a_holder_that_the_store_turns_away_is_not_waited_for() {
+fn a_holder_that_the_store_refuses_is_not_awaited() {
     run(async {
         let world = World::new();
         let proxies = world.instances(3).await;
-        let leave = |member: usize, revision: u64| {
+        let announce_leaving = |member: usize, revision: u64| {
             world.group.leaves(member);
             proxies.iter().for_each(|it| world.list_targets(it, revision));
         };
-        leave(0, 2);
+        announce_leaving(0, 2);
         world.succeeded("m0", REPLACED_WITHIN).await;
-        let second = world.group.leader().unwrap();
+        let second_leader = world.group.leader().unwrap();
         let holder = world.claims.holder().unwrap();
-        let number = (1..=3).find(|it| support::member(*it).id == holder).unwrap();
-        world.claims.turn_away(number);
+        let holder_number = (1..=3).find(|it| support::member(*it).id == holder).unwrap();
+        world.claims.turn_away(holder_number);
         pause(LEASE.as_millis() as u64).await;
-        leave(if second == "m1".into() { 1 } else { 2 }, 3);
-        world.succeeded(second.as_str(), REPLACED_WITHIN).await;
+        announce_leaving(if second_leader == "m1".into() { 1 } else { 2 }, 3);
+        world.succeeded(second_leader.as_str(), REPLACED_WITHIN).await;
     });
 }
--- a/crates/gullspar_direct/tests/connections.rs
+++ b/crates/gullspar_direct/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Many customers before targets that take few connections.
+//! Many customers in front of targets that accept few connections.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -14,17 +14,17 @@
 use support::{BOUNDED, FakeCaller, LATEST, World, member, pause, run};
 use test_case::test_case;
 
-/// Customers, of which the first send most.
+/// Number of customers. The first ones have most of the callers.
 const CUSTOMERS: usize = 40;
 
-/// What opening a connection takes, in milliseconds.
-const OPEN_MS: u64 = 12;
+/// Time that opening a connection takes, in milliseconds.
+const CONNECT_DELAY_MS: u64 = 12;
 
-/// After trouble has ended, service is whole again within this time.
-const WHOLE_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which service recovers after a failure has ended.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Attempts at a full target a second, from all instances to all members.
-const MOST_TURNED_AWAY_PER_S: u32 = 60;
+/// Maximum of connection attempts per second that are rejected, over all instances and members.
+const MAX_REJECTED_PER_S: u32 = 60;
 
 fn key(customer: usize) -> String {
     format!("key-{customer}")
@@ -39,7 +39,7 @@
     Catalogue { customers: Some(customers), ..support::with_connections(2, connections) }
 }
 
-/// Callers of all customers at some instances, each of which reads again and again.
+/// Callers of all customers, spread over some instances, that repeat a read until stopped.
 struct Load {
     served: Rc<Cell<u32>>,
     refused: Rc<Cell<u32>>,
@@ -51,7 +51,7 @@
         let load = Load { served: Rc::default(), refused: Rc::default(), stopped: Rc::default() };
         for number in 0..callers {
             let proxy = &proxies[number % proxies.len()];
-            // A few customers are large.
+            // The first customers have the most callers.
             let customer = (number * number / callers) % CUSTOMERS;
             let (caller, link) = FakeCaller::new();
             compio::runtime::spawn(serve_caller(Rc::clone(proxy), Box::new(link))).detach();
@@ -59,7 +59,7 @@
             caller.open_with(service, Some(&key(customer))).await;
             let (served, refused) = (Rc::clone(&load.served), Rc::clone(&load.refused));
             let stopped = Rc::clone(&load.stopped);
-            let work = async move {
+            let read_loop = async move {
                 while !stopped.get() {
                     match caller.say("READ slot").await.result {
                         Ok(_) => served.set(served.get() + 1),
@@ -68,12 +68,12 @@
                     pause(pause_ms).await;
                 }
             };
-            compio::runtime::spawn(work).detach();
+            compio::runtime::spawn(read_loop).detach();
         }
         load
     }
 
-    /// Served and refused from now on for `time`.
+    /// Counts the reads served and refused during `time`.
     async fn count(&self, time: Duration) -> (u32, u32) {
         let before = (self.served.get(), self.refused.get());
         compio::time::sleep(time).await;
@@ -81,9 +81,9 @@
     }
 }
 
-async fn fleet(world: &World, instances: u16, connections: u32) -> Vec<Rc<Proxy>> {
+async fn start_fleet(world: &World, instances: u16, connections: u32) -> Vec<Rc<Proxy>> {
     world.group.most_connections.set(Some(connections));
-    world.group.open_ms.set(OPEN_MS);
+    world.group.open_ms.set(CONNECT_DELAY_MS);
     world.group.work_ms.set(5);
     let proxies: Vec<Rc<Proxy>> = (1..=instances)
         .map(|it| world.instance_as(member(it), configuration(connections)))
@@ -94,54 +94,55 @@
     proxies
 }
 
-/// Guards against customers that take each other's connections away until opening them is all that targets do.
+/// Guards against customers that evict each other's connections until targets do little but open new ones.
 #[test_case(2, 42, 30; "a few callers")]
 #[test_case(2, 42, 90; "many callers")]
 #[test_case(4, 24, 60; "few connections")]
 fn more_customers_than_connections_are_served(instances: u16, connections: u32, callers: usize) {
     run(async {
         let world = World::new();
-        let proxies = fleet(&world, instances, connections).await;
+        let proxies = start_fleet(&world, instances, connections).await;
         let load = Load::start(&proxies, callers, 100).await;
         pause(1000).await;
-        let turned_away = world.group.turned_away.get();
+        let rejected = world.group.turned_away.get();
         let (served, refused) = load.count(Duration::from_secs(3)).await;
         assert!(served >= 50 * refused, "{served} served and {refused} refused");
-        let turned_away = world.group.turned_away.get() - turned_away;
-        assert!(turned_away <= 3 * MOST_TURNED_AWAY_PER_S, "{turned_away} turned away");
+        let rejected = world.group.turned_away.get() - rejected;
+        assert!(rejected <= 3 * MAX_REJECTED_PER_S, "{rejected} connections rejected");
         load.stopped.set(true);
     });
 }
 
-/// Guards against an overload that keeps itself: targets are full for a while, and attempts to connect keep them so.
+/// Guards against an overload that sustains itself: targets are full for a while, and connection attempts keep them
+/// full.
 #[test]
-fn service_is_whole_again_soon_after_targets_were_full() {
+fn service_recovers_soon_after_targets_were_full() {
     run(async {
         let world = World::new();
-        let proxies = fleet(&world, 2, 42).await;
+        let proxies = start_fleet(&world, 2, 42).await;
         let load = Load::start(&proxies, 60, 100).await;
         pause(1000).await;
         world.group.kept_for_the_dead.set(42);
-        let turned_away = world.group.turned_away.get();
+        let rejected = world.group.turned_away.get();
         pause(3000).await;
-        let turned_away = world.group.turned_away.get() - turned_away;
-        assert!(turned_away <= 3 * MOST_TURNED_AWAY_PER_S, "{turned_away} turned away");
+        let rejected = world.group.turned_away.get() - rejected;
+        assert!(rejected <= 3 * MAX_REJECTED_PER_S, "{rejected} connections rejected");
         world.group.kept_for_the_dead.set(0);
-        let ended = Instant::now();
-        compio::time::sleep(WHOLE_WITHIN).await;
+        let fault_ended = Instant::now();
+        compio::time::sleep(RECOVERY_TIMEOUT).await;
         let (served, refused) = load.count(Duration::from_secs(2)).await;
         assert!(served >= 50 * refused, "{served} served and {refused} refused");
-        assert!(ended.elapsed() < Duration::from_secs(8));
+        assert!(fault_ended.elapsed() < Duration::from_secs(8));
         load.stopped.set(true);
     });
 }
 
-/// Guards against opening a connection at each target for each customer, where one has a free one already.
+/// Guards against opening a connection at every target for a customer that has an idle connection already.
 #[test]
-fn reads_of_a_customer_stay_where_its_connections_are() {
+fn reads_of_a_customer_reuse_its_connections() {
     run(async {
         let world = World::new();
-        let proxies = fleet(&world, 1, 42).await;
+        let proxies = start_fleet(&world, 1, 42).await;
         let (caller, link) = FakeCaller::new();
         compio::runtime::spawn(serve_caller(Rc::clone(&proxies[0]), Box::new(link))).detach();
         caller.open_with(BOUNDED, Some(&key(1))).await;
--- a/crates/gullspar_direct/tests/customers.rs
+++ b/crates/gullspar_direct/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Customers: whose session it is, whose connections it uses, and how much may run.
+//! Customers: to which one a session belongs, whose connections it uses, and how many operations may run.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -13,7 +13,7 @@
 use gullspar_statement::{FailureCode, TransactionStatus};
 use support::{BOUNDED, FakeCaller, LATEST, World, member, pause, run};
 
-/// Connections to each target of which a fleet of eight can't have two each.
+/// Connections to each target, too few for two per instance in a fleet of eight.
 const FEW_CONNECTIONS: u32 = 10;
 
 const NO_LIMIT: Option<RateLimit> = None;
@@ -22,7 +22,7 @@
     Some(RateLimit { thousandths_per_s: per_s * 1000, burst })
 }
 
-/// The usual configuration, with these keys and their holders.
+/// The default configuration with these keys and the customers that hold them.
 fn with_customers(
     version: u64,
     connections: u32,
@@ -35,17 +35,20 @@
     Catalogue { customers: Some(customers), ..support::with_connections(version, connections) }
 }
 
-const TWO: [(&str, &str, Option<RateLimit>); 2] =
+const TWO_CUSTOMERS: [(&str, &str, Option<RateLimit>); 2] =
     [("key-a", "abbey", NO_LIMIT), ("key-b", "barn", NO_LIMIT)];
 
-async fn served_by(world: &World, catalogue: Catalogue) -> Rc<Proxy> {
+async fn start_instance(world: &World, catalogue: Catalogue) -> Rc<Proxy> {
     let proxy = world.instance_with(1, catalogue);
     world.settle(&proxy).await;
     proxy
 }
 
-/// Four instances that have known each other for long enough to grant.
-async fn four(world: &World, holders: &[(&str, &str, Option<RateLimit>)]) -> Vec<Rc<Proxy>> {
+/// Four instances that have known each other long enough to grant quota.
+async fn four_instances(
+    world: &World,
+    holders: &[(&str, &str, Option<RateLimit>)],
+) -> Vec<Rc<Proxy>> {
     let configuration = || with_customers(2, 60, holders);
     let start = |it| world.instance_as(member(it), configuration());
     let proxies: Vec<Rc<Proxy>> = (1..=4).map(start).collect();
@@ -56,7 +59,7 @@
     proxies
 }
 
-async fn open(proxy: &Rc<Proxy>, service: &str, key: &str) -> FakeCaller {
+async fn open_session(proxy: &Rc<Proxy>, service: &str, key: &str) -> FakeCaller {
     let (caller, link) = FakeCaller::new();
     let serve = gullspar_direct::serve_caller(Rc::clone(proxy), Box::new(link));
     compio::runtime::spawn(serve).detach();
@@ -71,12 +74,12 @@
     caller.opening_refused_with(service, key).await
 }
 
-/// Guards against serving a key that no configuration holds.
+/// Guards against serving a caller without a key, or with one that is not in the configuration.
 #[test]
 fn an_unknown_key_is_refused_at_once() {
     run(async {
         let world = World::new();
-        let proxy = served_by(&world, with_customers(2, 60, &TWO)).await;
+        let proxy = start_instance(&world, with_customers(2, 60, &TWO_CUSTOMERS)).await;
         for key in [Some("key-c"), None] {
             assert_eq!(refused_at_opening(&proxy, LATEST, key).await, FailureCode::Unauthenticated);
         }
@@ -86,15 +89,15 @@
 
 /// Guards against refusing callers of a service that needs no key.
 #[test]
-fn a_service_that_needs_no_key_serves_everybody() {
+fn a_service_that_needs_no_key_serves_any_caller() {
     run(async {
         let world = World::new();
-        let mut catalogue = with_customers(2, 60, &TWO);
+        let mut catalogue = with_customers(2, 60, &TWO_CUSTOMERS);
         catalogue.routes.get_mut(&BOUNDED.into()).unwrap().needs_key = false;
-        let proxy = served_by(&world, catalogue).await;
-        open(&proxy, BOUNDED, "whoever").await.done("READ slot").await;
+        let proxy = start_instance(&world, catalogue).await;
+        open_session(&proxy, BOUNDED, "whoever").await.done("READ slot").await;
         assert_eq!(world.group.ran().last().unwrap().customer, None);
-        open(&proxy, BOUNDED, "key-a").await.done("READ slot").await;
+        open_session(&proxy, BOUNDED, "key-a").await.done("READ slot").await;
         assert_eq!(world.group.ran().last().unwrap().customer, Some("abbey".into()));
     });
 }
@@ -104,12 +107,12 @@
 fn a_connection_serves_one_customer_only() {
     run(async {
         let world = World::new();
-        let proxy = served_by(&world, with_customers(2, 60, &TWO)).await;
+        let proxy = start_instance(&world, with_customers(2, 60, &TWO_CUSTOMERS)).await;
         let callers = [
-            (open(&proxy, LATEST, "key-a").await, "abbey"),
-            (open(&proxy, LATEST, "key-b").await, "barn"),
-            (open(&proxy, BOUNDED, "key-a").await, "abbey"),
-            (open(&proxy, BOUNDED, "key-b").await, "barn"),
+            (open_session(&proxy, LATEST, "key-a").await, "abbey"),
+            (open_session(&proxy, LATEST, "key-b").await, "barn"),
+            (open_session(&proxy, BOUNDED, "key-a").await, "abbey"),
+            (open_session(&proxy, BOUNDED, "key-b").await, "barn"),
         ];
         for _ in 0..5 {
             for (caller, customer) in &callers {
@@ -125,22 +128,22 @@
     });
 }
 
-/// Guards against a key that still works on an open session after it was taken away.
+/// Guards against a revoked key that still works on an open session.
 #[test]
-fn a_key_that_is_taken_away_ends_the_session_and_its_transaction() {
+fn a_revoked_key_ends_its_sessions_and_their_transactions() {
     run(async {
         let world = World::new();
-        let proxy = served_by(&world, with_customers(2, 60, &TWO)).await;
-        let idle = open(&proxy, LATEST, "key-a").await;
-        let busy = open(&proxy, LATEST, "key-a").await;
-        let other = open(&proxy, LATEST, "key-b").await;
+        let proxy = start_instance(&world, with_customers(2, 60, &TWO_CUSTOMERS)).await;
+        let idle = open_session(&proxy, LATEST, "key-a").await;
+        let busy = open_session(&proxy, LATEST, "key-a").await;
+        let other = open_session(&proxy, LATEST, "key-b").await;
         busy.done("BEGIN").await;
         busy.done("WRITE slot mine").await;
-        proxy.directory.apply_catalogue(with_customers(3, 60, &TWO[1..]));
+        proxy.directory.apply_catalogue(with_customers(3, 60, &TWO_CUSTOMERS[1..]));
         for caller in [&idle, &busy] {
             let answer = caller.say("WRITE slot late").await;
             assert_eq!(answer.result.unwrap_err().code, FailureCode::Unauthenticated);
-            assert_eq!(answer.status, TransactionStatus::Idle, "nothing is left open");
+            assert_eq!(answer.status, TransactionStatus::Idle, "no transaction is left open");
             assert!(caller.next().await.is_none(), "the session ends");
         }
         other.done("WRITE slot theirs").await;
@@ -148,14 +151,14 @@
     });
 }
 
-/// Guards against statements that run under the name of a customer that held the key before.
+/// Guards against statements that run for the customer that held the key before.
 #[test]
-fn a_key_that_moves_takes_its_sessions_along_and_no_open_transaction() {
+fn a_key_moved_to_another_customer_keeps_its_sessions_but_no_open_transaction() {
     run(async {
         let world = World::new();
-        let proxy = served_by(&world, with_customers(2, 60, &TWO)).await;
-        let idle = open(&proxy, LATEST, "key-a").await;
-        let busy = open(&proxy, LATEST, "key-a").await;
+        let proxy = start_instance(&world, with_customers(2, 60, &TWO_CUSTOMERS)).await;
+        let idle = open_session(&proxy, LATEST, "key-a").await;
+        let busy = open_session(&proxy, LATEST, "key-a").await;
         idle.done("READ slot").await;
         busy.done("BEGIN").await;
         busy.done("WRITE slot mine").await;
@@ -167,45 +170,46 @@
     });
 }
 
-/// Guards against a home that goes on serving a key of which the instance before it knows better.
+/// Guards against a home that keeps serving a key although the forwarding instance knows that it is revoked.
 #[test]
-fn a_key_is_refused_by_whichever_of_two_instances_knows_first() {
+fn a_key_is_refused_once_one_of_two_instances_knows_that_it_is_revoked() {
     run(async {
         let world = World::new();
-        let catalogue = || with_customers(2, FEW_CONNECTIONS, &TWO);
+        let catalogue = || with_customers(2, FEW_CONNECTIONS, &TWO_CUSTOMERS);
         let proxies: Vec<Rc<Proxy>> =
             (1..=8).map(|it| world.instance_with(it, catalogue())).collect();
         pause(6000).await;
-        let no_home = proxies.iter().find(|it| it.groups().is_empty()).unwrap();
-        let caller = open(no_home, LATEST, "key-a").await;
+        let non_home = proxies.iter().find(|it| it.groups().is_empty()).unwrap();
+        let caller = open_session(non_home, LATEST, "key-a").await;
         caller.done("WRITE slot mine").await;
         assert_eq!(world.group.ran().last().unwrap().customer, Some("abbey".into()));
-        no_home.directory.apply_catalogue(with_customers(3, FEW_CONNECTIONS, &TWO[1..]));
+        non_home.directory.apply_catalogue(with_customers(3, FEW_CONNECTIONS, &TWO_CUSTOMERS[1..]));
         assert_eq!(caller.refused("WRITE slot late").await, FailureCode::Unauthenticated);
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()));
     });
 }
 
-/// Guards against more operations than a customer may have run, and against keeping those waiting that may not run.
+/// Guards against running more operations than a customer's limit allows, and against delaying the excess ones
+/// instead of refusing them.
 #[test]
 fn operations_beyond_the_limit_are_refused_at_once_and_do_not_run() {
     run(async {
         let world = World::new();
         let holders = [("key-a", "abbey", limit(20, 10)), ("key-b", "barn", NO_LIMIT)];
-        let proxy = served_by(&world, with_customers(2, 60, &holders)).await;
+        let proxy = start_instance(&world, with_customers(2, 60, &holders)).await;
         pause(2000).await;
-        let caller = open(&proxy, LATEST, "key-a").await;
-        let other = open(&proxy, LATEST, "key-b").await;
-        let began = Instant::now();
+        let caller = open_session(&proxy, LATEST, "key-a").await;
+        let other = open_session(&proxy, LATEST, "key-b").await;
+        let started = Instant::now();
         let (mut ran, mut refused) = (0, 0);
-        while began.elapsed().as_millis() < 2000 {
-            let asked = Instant::now();
+        while started.elapsed().as_millis() < 2000 {
+            let sent_at = Instant::now();
             match caller.say("READ slot").await.result {
                 Ok(_) => ran += 1,
                 Err(failure) => {
                     assert_eq!(failure.code, FailureCode::Congested);
                     assert!(failure.text.contains("not run"), "{}", failure.text);
-                    assert!(asked.elapsed().as_millis() < 50, "refused at once");
+                    assert!(sent_at.elapsed().as_millis() < 50, "refused at once");
                     refused += 1;
                     pause(5).await;
                 }
@@ -214,20 +218,20 @@
         assert!((40..=52).contains(&ran), "{ran} of 20 a second and a burst of 10 ran in 2 s");
         assert!(refused > 0);
         let reads = world.group.ran().iter().filter(|it| it.text == "READ slot").count();
-        assert_eq!(reads, ran, "what was refused did not run");
+        assert_eq!(reads, ran, "refused operations did not run");
         other.done("READ slot").await;
     });
 }
 
-/// Guards against counting each statement of a transaction, and against a refused transaction that leaves something.
+/// Guards against counting each statement of a transaction, and against partial effects of a refused transaction.
 #[test]
-fn a_transaction_counts_once_and_fails_whole_at_the_limit() {
+fn a_transaction_counts_once_and_fails_as_a_whole_at_the_limit() {
     run(async {
         let world = World::new();
         let holders = [("key-a", "abbey", limit(1, 4))];
-        let proxy = served_by(&world, with_customers(2, 60, &holders)).await;
+        let proxy = start_instance(&world, with_customers(2, 60, &holders)).await;
         pause(9000).await;
-        let caller = open(&proxy, LATEST, "key-a").await;
+        let caller = open_session(&proxy, LATEST, "key-a").await;
         for _ in 0..2 {
             caller.done("BEGIN").await;
             for _ in 0..6 {
@@ -249,27 +253,27 @@
     });
 }
 
-/// Guards against a limit for each instance in place of one for all.
+/// Guards against applying a customer's limit to each instance instead of all instances together.
 #[test]
-fn a_limit_holds_over_all_instances() {
+fn a_limit_applies_across_all_instances() {
     run(async {
         let world = World::new();
         let holders = [("key-a", "abbey", limit(40, 10))];
-        let proxies = four(&world, &holders).await;
+        let proxies = four_instances(&world, &holders).await;
         let before = world.group.ran().len();
-        let mut asking = Vec::new();
+        let mut tasks = Vec::new();
         for proxy in &proxies {
-            let caller = open(proxy, LATEST, "key-a").await;
-            asking.push(compio::runtime::spawn(async move {
-                let began = Instant::now();
-                while began.elapsed().as_millis() < 3000 {
+            let caller = open_session(proxy, LATEST, "key-a").await;
+            tasks.push(compio::runtime::spawn(async move {
+                let started = Instant::now();
+                while started.elapsed().as_millis() < 3000 {
                     if caller.say("READ slot").await.result.is_err() {
                         pause(10).await;
                     }
                 }
             }));
         }
-        for task in asking {
+        for task in tasks {
             let _ = task.await;
         }
         let ran = world.group.ran().len() - before;
@@ -277,31 +281,31 @@
     });
 }
 
-/// Guards against a customer that is refused everything while the instance that counts for it is gone.
+/// Guards against refusing all operations of a customer while the owner of its quota is unreachable.
 #[test]
-fn callers_are_served_on_while_the_owner_of_their_quota_is_replaced() {
+fn callers_are_served_while_the_owner_of_their_quota_is_replaced() {
     run(async {
         let world = World::new();
         let holders = [("key-a", "abbey", limit(100, 100))];
-        let proxies = four(&world, &holders).await;
-        let caller = open(&proxies[0], BOUNDED, "key-a").await;
+        let proxies = four_instances(&world, &holders).await;
+        let caller = open_session(&proxies[0], BOUNDED, "key-a").await;
         for _ in 0..40 {
             caller.done("READ slot").await;
             pause(20).await;
         }
         (2..=4).for_each(|it| world.network.cut(it));
         let (mut served, mut refused, mut slow) = (0, 0, 0);
-        let began = Instant::now();
-        while began.elapsed().as_millis() < 900 {
-            let asked = Instant::now();
+        let started = Instant::now();
+        while started.elapsed().as_millis() < 900 {
+            let sent_at = Instant::now();
             match caller.say("READ slot").await.result {
                 Ok(_) => served += 1,
                 Err(_) => refused += 1,
             }
-            slow += u32::from(asked.elapsed().as_millis() > 100);
+            slow += u32::from(sent_at.elapsed().as_millis() > 100);
             pause(20).await;
         }
-        assert!(slow <= 1, "{slow} operations waited for a owner that does not answer");
+        assert!(slow <= 1, "{slow} operations waited for an owner that does not answer");
         assert!(served > 4 * refused, "{served} served and {refused} refused");
     });
 }
--- a/crates/gullspar_direct/tests/failover.rs
+++ b/crates/gullspar_direct/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Replacing leaders that fail, with several instances.
+//! Replacement of failed leaders by several instances.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -9,9 +9,9 @@
 use gullspar_statement::FailureCode;
 use support::{BOUNDED, Fault, LATEST, REPLACED_WITHIN, World, leader_of, pause, run, until};
 
-/// Symptom: writes stop for good when a leader fails.
+/// Guards against writes that fail permanently once a leader is unresponsive, and against promoting more than once.
 #[test]
-fn a_dark_leader_is_replaced_once() {
+fn an_unresponsive_leader_is_replaced_once() {
     run(async {
         let world = World::new();
         let proxies = world.instances(3).await;
@@ -19,7 +19,7 @@
         world.succeeded("m0", REPLACED_WITHIN).await;
         let leader = world.group.leader();
         for proxy in &proxies {
-            until(1000, "all follow", || leader_of(proxy) == leader).await;
+            until(1000, "all instances use the new leader", || leader_of(proxy) == leader).await;
         }
         world.caller(&proxies[0], LATEST).await.done("WRITE slot mine").await;
         pause(1500).await;
@@ -28,9 +28,8 @@
     });
 }
 
-/// Symptom: a healthy leader is replaced, and commits are undone with it.
-/// Events: one instance of several loses the way to the leader.
-/// Cause: its view alone was enough.
+/// Guards against replacing a healthy leader, and undoing its commits, because one of several instances cannot reach
+/// it.
 #[test]
 fn one_instances_view_does_not_replace_a_leader() {
     run(async {
@@ -39,7 +38,7 @@
         world.group.set(0, Fault::DarkTo(2));
         pause(2500).await;
         assert_eq!(world.promoter.orders(), []);
-        // That instance's callers are served all the same, through another one, and at once.
+        // That instance's callers are still served at once, through another instance.
         let started = std::time::Instant::now();
         world.caller(&proxies[1], LATEST).await.done("WRITE slot mine").await;
         assert!(started.elapsed().as_millis() < 200, "took {:?}", started.elapsed());
@@ -47,9 +46,9 @@
     });
 }
 
-/// Symptom: behind a cut, a minority of instances moves leaders away from everybody else.
+/// Guards against a partitioned minority that replaces leaders which the other instances use.
 #[test]
-fn a_cut_off_instance_promotes_nobody_and_sends_callers_elsewhere() {
+fn a_partitioned_instance_promotes_no_member_and_leaves_rotation() {
     run(async {
         let world = World::new();
         let proxies = world.instances(3).await;
@@ -71,11 +70,9 @@
     });
 }
 
-/// Symptom: after most instances lost power, the rest refuses everybody.
-/// Events: the others are silent, so the survivors look cut off.
-/// Cause: silence of instances alone was taken for a cut, though the leaders answer.
+/// Guards against refusing all callers because most other instances are silent, although the leaders answer.
 #[test]
-fn survivors_that_reach_the_leaders_go_on() {
+fn instances_that_reach_the_leaders_stay_ready_when_the_others_are_silent() {
     run(async {
         let world = World::new();
         let proxies = world.instances(3).await;
@@ -87,11 +84,8 @@
     });
 }
 
-/// Symptom: reads miss what was acknowledged, and commits of the present term are undone.
-/// Events: a data centre is cut off with the leader; the others promote another member, which takes
-/// writes; the cut heals, and an instance that was behind it sees nobody lead and reaches the old leader
-/// first.
-/// Cause: it promoted the old leader, whose log ends in the old term, since it knew of no newer one.
+/// Guards against an instance that knows of no newer leader and promotes a superseded one, whose log lacks
+/// acknowledged commits of the current term.
 #[test]
 fn a_log_of_a_superseded_term_is_not_promoted() {
     run(async {
@@ -109,18 +103,19 @@
         world.group.promote(&"m1".into());
         world.group.commit(&[("slot".to_owned(), "taken".to_owned())]);
         pause(3000).await;
-        assert_eq!(world.promoter.orders(), [], "only the superseded leader is in reach");
+        assert_eq!(world.promoter.orders(), [], "only the superseded leader is reachable");
         world.group.mend(2);
-        until(4000, "a member of the present term leads", || {
+        until(4000, "a member of the current term is promoted", || {
             world.promoter.orders().iter().any(|it| it.member == "m2".into())
         })
         .await;
     });
 }
 
-/// An instance that hears fewer than half of the others promotes nobody, whoever its near neighbours are.
+/// Guards against a promotion by instances that receive from fewer than half of the others, whichever instances are
+/// close to them.
 #[test]
-fn a_minority_promotes_nobody_when_it_forms_its_own_homes() {
+fn a_minority_with_homes_of_its_own_promotes_no_member() {
     run(async {
         let world = World::new();
         let proxies = world.instances(5).await;
@@ -135,14 +130,10 @@
     });
 }
 
-/// Symptom: reads of the latest data lack bookings that were confirmed, 37 and 90 of them after a failover.
-/// Events: a data centre is cut off with the leader; the others see it dark and order another one, which takes
-/// 600 ms to show; meanwhile, and in the 0.2 s before the order, the instance behind the cut sends writes to
-/// the old leader, which leads until then, and confirms them by its word alone.
-/// Cause: where no replica was in reach, nobody was asked whether a promotion might be under way or about to
-/// be; and what others had said before the cut was taken for their word.
+/// Guards against acknowledging writes that a promotion undoes: a partitioned instance must not rely on the old
+/// leader alone while others may be about to replace it.
 #[test]
-fn behind_a_cut_no_write_is_confirmed_by_the_leader_alone() {
+fn a_partitioned_instance_acknowledges_no_write_on_the_leader_alone() {
     run(async {
         let world = World::new();
         world.promoter.takes_ms.set(600);
@@ -152,38 +143,35 @@
         world.network.cut(1);
         world.group.set(0, Fault::DarkTo(2));
         world.group.set(0, Fault::DarkTo(3));
-        // Each side keeps its log as it is.
+        // Stops replication on both sides of the partition.
         (0..3).for_each(|it| world.group.set(it, Fault::Deaf));
         [1, 2].into_iter().for_each(|it| world.group.set(it, Fault::DarkTo(1)));
         let mut sent_after_the_order = 0;
-        let mut confirmed = Vec::new();
+        let mut acknowledged = Vec::new();
         for number in 0..200 {
             let ordered = !world.promoter.orders().is_empty();
             let caller = world.caller(&proxies[0], LATEST).await;
             let answer = caller.say(&format!("WRITE slot-{number} mine")).await;
             sent_after_the_order += u32::from(ordered);
-            assert!(!ordered || answer.result.is_err(), "write {number} was confirmed");
+            assert!(!ordered || answer.result.is_err(), "write {number} was acknowledged");
             if answer.result.is_ok() {
-                confirmed.push(number);
+                acknowledged.push(number);
             }
             if world.group.leader() != Some("m0".into()) {
                 break;
             }
             pause(10).await;
         }
-        assert!(sent_after_the_order > 0, "no write came between the order and its effect");
-        confirmed.retain(|it| world.group.value(&format!("slot-{it}")).is_none());
-        assert!(confirmed.is_empty(), "confirmed and gone: {confirmed:?}");
+        assert!(sent_after_the_order > 0, "no write was sent between the order and its effect");
+        acknowledged.retain(|it| world.group.value(&format!("slot-{it}")).is_none());
+        assert!(acknowledged.is_empty(), "acknowledged and lost: {acknowledged:?}");
     });
 }
 
-/// Symptom: a commit that a promotion has undone is confirmed just after it, and all reads of the latest data lack
-/// it from then on.
-/// Events: behind a cut, a commit waits for a replica; the promotion takes effect; the instance learns that the
-/// old leader leads no more.
-/// Cause: from then on the old leader counted as a replica, and it has its own commit.
+/// Guards against acknowledging a commit that a promotion has undone because the former leader counts as a replica
+/// that has it.
 #[test]
-fn a_leader_that_leads_no_more_does_not_confirm_its_own_commit() {
+fn a_former_leader_does_not_count_as_a_replica_of_its_own_commit() {
     run(async {
         let world = World::new();
         let proxies = world.instances(2).await;
@@ -195,9 +183,9 @@
         [1, 2].into_iter().for_each(|it| world.group.set(it, Fault::DarkTo(1)));
         caller.begin_to_say("WRITE slot mine");
         pause(300).await;
-        assert!(!caller.has_answer(), "it waits for a replica");
+        assert!(!caller.has_answer(), "the commit waits for a replica");
         world.group.promote(&"m1".into());
-        // The old leader says so to whoever asks first.
+        // The next statement learns from the old leader that it no longer leads.
         other.begin_to_say("READ slot");
         let answer = caller.next().await.unwrap();
         assert_eq!(answer.result.unwrap_err().code, FailureCode::Unknown);
--- a/crates/gullspar_direct/tests/homes.rs
+++ b/crates/gullspar_direct/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Many instances before few connections: sessions are handed on to homes.
+//! More instances than connections: sessions are forwarded to homes.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -14,17 +14,18 @@
 /// Connections to each target that the configuration allows in these tests.
 const CONNECTIONS: u32 = 10;
 
-/// More instances than can each have two of the connections.
+/// Number of instances, too many for each to have two of the connections.
 const INSTANCES: u16 = 8;
 
 /// A service that a later configuration adds.
-const ADDED: &str = "added";
+const ADDED_SERVICE: &str = "added";
 
-/// A larger fleet, and connections of which each of it could have one.
+/// Number of instances of a larger fleet.
 const FLEET: u16 = 20;
+/// Connections to each target, enough for one connection of each instance of the larger fleet.
 const MANY_CONNECTIONS: u32 = 44;
 
-async fn many(world: &World) -> Vec<Rc<Proxy>> {
+async fn start_instances(world: &World) -> Vec<Rc<Proxy>> {
     let proxies: Vec<Rc<Proxy>> = (1..=INSTANCES).map(|it| world.instance(it)).collect();
     for proxy in &proxies {
         proxy.directory.apply_catalogue(support::with_connections(2, CONNECTIONS));
@@ -41,26 +42,24 @@
     proxies.iter().filter(|it| !it.groups().is_empty()).map(Rc::clone).collect()
 }
 
-/// An instance that is home of nothing, and hands its sessions on.
-fn no_home(proxies: &[Rc<Proxy>]) -> &Rc<Proxy> {
+/// An instance that is home of no group and forwards its sessions.
+fn non_home(proxies: &[Rc<Proxy>]) -> &Rc<Proxy> {
     proxies.iter().find(|it| it.groups().is_empty()).unwrap()
 }
 
-/// Symptom: with many instances, one statement in five is refused and targets turn away thousands of
-/// connections a second.
-/// Cause: every instance opens its own connections, and there are not enough for all.
+/// Guards against instances that each open connections of their own, which are more than the targets accept.
 #[test]
-fn only_homes_hold_connections_and_everybody_is_served() {
+fn only_homes_hold_connections_and_all_callers_are_served() {
     run(async {
         let world = World::new();
-        let proxies = many(&world).await;
+        let proxies = start_instances(&world).await;
         let homes = homes(&proxies);
         assert!(!homes.is_empty() && homes.len() < proxies.len(), "{} homes", homes.len());
-        for (at, proxy) in proxies.iter().enumerate() {
+        for (index, proxy) in proxies.iter().enumerate() {
             let caller = world.caller(proxy, LATEST).await;
-            caller.done(&format!("WRITE item{at} x")).await;
+            caller.done(&format!("WRITE item{index} x")).await;
             caller.done("BEGIN").await;
-            assert_eq!(caller.done(&format!("READ item{at}")).await, ["x"]);
+            assert_eq!(caller.done(&format!("READ item{index}")).await, ["x"]);
             caller.done("COMMIT").await;
             caller.done("SET zone east").await;
             caller.done("PREPARE s READ q").await;
@@ -73,16 +72,14 @@
     });
 }
 
-/// Symptom: callers of one instance lose requests when another one is restarted.
-/// Events: a home is told to end while it serves sessions that others handed on.
-/// Cause: it closed them although a request was on its way between the two.
+/// Guards against a home that shuts down and closes forwarded sessions while a request is on its way to it.
 #[test]
-fn a_home_that_ends_answers_what_is_on_its_way() {
+fn a_home_that_shuts_down_answers_requests_on_their_way() {
     run(async {
         let world = World::new();
-        let proxies = many(&world).await;
+        let proxies = start_instances(&world).await;
         let homes = homes(&proxies);
-        let other = no_home(&proxies);
+        let other = non_home(&proxies);
         world.group.work_ms.set(150);
         let busy = world.caller(other, LATEST).await;
         let idle = world.caller(other, BOUNDED).await;
@@ -97,13 +94,13 @@
     });
 }
 
-/// A home that dies with a write under way leaves its outcome unknown, and says so at once.
+/// Guards against a running write that stays unanswered, or counts as not run, after its home has failed.
 #[test]
-fn a_home_that_dies_leaves_a_write_unknown() {
+fn a_write_at_a_home_that_fails_has_an_unknown_outcome() {
     run(async {
         let world = World::new();
-        let proxies = many(&world).await;
-        let other = no_home(&proxies);
+        let proxies = start_instances(&world).await;
+        let other = non_home(&proxies);
         world.group.work_ms.set(300);
         let caller = world.caller(other, LATEST).await;
         caller.begin_to_say("WRITE slot mine");
@@ -115,54 +112,52 @@
     });
 }
 
-/// Symptom: after a power loss of a large fleet targets reset thousands of connections, and for four
-/// seconds a tenth of the callers is served in time.
-/// Events: all instances start at the same moment, and callers come before the first heartbeats.
-/// Cause: each had heard nobody, took itself for the only one, and connected to all targets.
+/// Guards against instances that start at the same time and each connect to all targets because no heartbeat has
+/// arrived yet.
 #[test]
-fn instances_that_start_together_do_not_each_take_themselves_for_the_only_one() {
+fn instances_that_start_together_do_not_all_become_homes() {
     run(async {
         let world = World::new();
         let proxies = world.fleet(&members(INSTANCES), CONNECTIONS);
         pause(100).await;
         let homes = homes(&proxies);
         assert!(!homes.is_empty() && homes.len() < proxies.len(), "{} homes", homes.len());
-        assert_eq!(world.registry.entered.get(), 0, "nothing changed, so nothing is written");
+        assert_eq!(world.registry.entered.get(), 0, "unchanged entries are not written");
     });
 }
 
-/// Where the registry does not answer, a start goes on without it.
+/// Guards against an instance that does not get ready while the registry does not answer.
 #[test]
-fn a_silent_registry_holds_no_start_up_for_long() {
+fn an_unresponsive_registry_does_not_block_the_start() {
     run(async {
         let world = World::new();
         world.registry.silent.set(true);
         let proxy = world.instance(1);
         let caller = world.caller(&proxy, LATEST).await;
-        until(1500, "it is ready", || proxy.is_ready()).await;
+        until(1500, "the instance is ready", || proxy.is_ready()).await;
         world.settle(&proxy).await;
         caller.done("WRITE slot x").await;
     });
 }
 
-/// Entries of instances that are gone for good count for a few seconds only.
+/// Guards against a group without a home because instances that are permanently gone are still registered.
 #[test]
-fn instances_that_are_never_heard_are_not_expected_for_ever() {
+fn registered_instances_that_never_respond_are_expected_for_seconds_only() {
     run(async {
         let world = World::new();
         for number in 2..=INSTANCES {
             world.registry.keep(support::member(number));
         }
         let proxy = world.instance_with(1, support::with_connections(2, CONNECTIONS));
-        until(4000, "it serves alone", || !proxy.groups().is_empty()).await;
+        until(4000, "it serves without the others", || !proxy.groups().is_empty()).await;
         world.settle(&proxy).await;
         let caller = world.caller(&proxy, LATEST).await;
         caller.done("WRITE slot x").await;
     });
 }
 
-/// Symptom: targets' own queues overflow although every home keeps to its share.
-/// Cause: there were more homes than the targets have slots, and each may always run one statement.
+/// Guards against overflowing targets' own queues: each home may always run one statement, so that the number of
+/// homes is bounded by the slots of the targets.
 #[test]
 fn there_are_no_more_homes_than_the_targets_can_serve_at_once() {
     run(async {
@@ -175,15 +170,14 @@
     });
 }
 
-/// Symptom: callers of a weak machine's groups wait for its processor while strong ones idle.
-/// Cause: homes were chosen without regard to what the machines can do.
+/// Guards against selecting weak machines as homes while strong ones are idle.
 #[test]
-fn strong_instances_are_homes_first() {
+fn strong_instances_become_homes_first() {
     run(async {
         let world = World::new();
-        let strong = |it: u16| it.is_multiple_of(4);
+        let is_strong = |it: u16| it.is_multiple_of(4);
         let member = |number| {
-            let strength = if strong(number) { 4000 } else { 120 };
+            let strength = if is_strong(number) { 4000 } else { 120 };
             Member { strength, ..support::member(number) }
         };
         let fleet: Vec<Member> = (1..=FLEET).map(member).collect();
@@ -191,35 +185,34 @@
         pause(300).await;
         let homes: Vec<u16> =
             (1..).zip(&proxies).filter(|(_, it)| !it.groups().is_empty()).map(|it| it.0).collect();
-        assert!(homes.len() == 1 && strong(homes[0]), "{homes:?}");
+        assert!(homes.len() == 1 && is_strong(homes[0]), "{homes:?}");
     });
 }
 
-/// Symptom: for seconds after a home has died all new sessions of its group are refused.
-/// Events: the only home of a data centre is cut off; heartbeats show it a second later at the earliest.
-/// Cause: only homes were asked. Now the next in rank stand in, and the home is tried last for a while.
+/// Guards against refusing all new sessions of a group until heartbeats show that its only home has failed.
 #[test]
-fn another_instance_stands_in_for_a_home_out_of_reach() {
+fn a_spare_home_serves_while_the_home_is_unreachable() {
     run(async {
         let world = World::new();
-        let proxies = many(&world).await;
-        let at = proxies.iter().position(|it| !it.groups().is_empty()).unwrap();
-        let other = no_home(&proxies);
-        world.network.cut(at as u16 + 1);
+        let proxies = start_instances(&world).await;
+        let index = proxies.iter().position(|it| !it.groups().is_empty()).unwrap();
+        let other = non_home(&proxies);
+        world.network.cut(index as u16 + 1);
         let caller = world.caller(other, LATEST).await;
-        until(1000, "a stand-in serves", || homes(&proxies).len() == 2).await;
-        let stand_in =
-            proxies.iter().enumerate().find(|(it, proxy)| *it != at && !proxy.groups().is_empty());
-        world.settle(stand_in.unwrap().1).await;
+        until(1000, "a spare home serves", || homes(&proxies).len() == 2).await;
+        let spare_home = proxies
+            .iter()
+            .enumerate()
+            .find(|(it, proxy)| *it != index && !proxy.groups().is_empty());
+        world.settle(spare_home.unwrap().1).await;
         caller.done("WRITE slot mine").await;
     });
 }
 
-/// Symptom: after a power loss of a large fleet every instance opens a connection to every target.
-/// Events: the list of targets reaches an instance before the configuration does.
-/// Cause: where nothing said how many connections there may be, it took itself for a home of all groups.
+/// Guards against an instance that connects to all targets because it does not know yet how many connections are
+/// allowed.
 #[test]
-fn no_target_is_connected_to_before_the_configuration_is_known() {
+fn no_connection_is_opened_before_the_configuration_is_known() {
     run(async {
         let world = World::new();
         let proxy = world.instance_without_configuration(1);
@@ -230,38 +223,35 @@
     });
 }
 
-/// A configuration that adds `ADDED` to the one that all go by.
+/// The configuration of the other instances, with `ADDED_SERVICE` added.
 fn with_added_service(version: u64) -> Catalogue {
     let mut catalogue = support::with_connections(version, CONNECTIONS);
     let route = catalogue.routes[&ServiceName::new(LATEST)].clone();
-    catalogue.routes.insert(ServiceName::new(ADDED), route);
+    catalogue.routes.insert(ServiceName::new(ADDED_SERVICE), route);
     catalogue
 }
 
-/// Symptom: an instance refuses with "no such service" what it has had in its configuration for seconds.
-/// Events: a home was suspended or cut off and is back with an old configuration; another instance hands on a
-/// session for a service that was added meanwhile; the home refuses it, and the refusal is passed on.
-/// Cause: a home answered by what it went by itself, whatever the instance knew that asked it.
-/// Evidence: the refusal came 6 s after the acknowledgement from an instance that went by version 17 and logged none;
-/// a home in its data centre logged G0730 for that service with version 9 at that moment, and had version 17 0.1 s later.
+/// Guards against a home that answers "no such service" from a configuration older than that of the forwarding
+/// instance.
 #[test]
-fn a_home_with_an_older_configuration_refuses_nobody_by_it() {
+fn a_home_with_an_older_configuration_does_not_refuse_a_new_service() {
     run(async {
         let world = World::new();
-        let proxies = many(&world).await;
-        let entry = no_home(&proxies);
+        let proxies = start_instances(&world).await;
+        let entry = non_home(&proxies);
         entry.directory.apply_catalogue(with_added_service(3));
-        // The home hears of it within a heartbeat and a fetch.
-        world.caller(entry, ADDED).await.done("WRITE slot mine").await;
+        // The home learns of the new version by a heartbeat and fetches it.
+        world.caller(entry, ADDED_SERVICE).await.done("WRITE slot mine").await;
     });
 }
 
-/// The same where nobody can fetch what it lacks: nothing ran, and the caller may try elsewhere.
+/// Guards against a permanent refusal by homes that cannot fetch the newer configuration: nothing ran, so the caller
+/// may retry elsewhere.
 #[test]
-fn homes_that_stay_behind_take_no_session_that_was_handed_on() {
+fn homes_that_cannot_update_their_configuration_refuse_forwarded_sessions() {
     run(async {
         let world = World::new();
-        let proxies = many(&world).await;
+        let proxies = start_instances(&world).await;
         let entry = proxies.iter().position(|it| it.groups().is_empty()).unwrap();
         let numbers = 1..=INSTANCES;
         for from in numbers.clone().filter(|it| *it as usize != entry + 1) {
@@ -271,6 +261,6 @@
         let (caller, link) = FakeCaller::new();
         let served = serve_caller(Rc::clone(&proxies[entry]), Box::new(link));
         compio::runtime::spawn(served).detach();
-        assert_eq!(caller.opening_refused(ADDED).await, FailureCode::Congested);
+        assert_eq!(caller.opening_refused(ADDED_SERVICE).await, FailureCode::Congested);
     });
 }
--- /dev/null
+++ b/crates/gullspar_direct/tests/partitioned_data_centre.rs
@@ -0,0 +1,148 @@
+//! A partitioned data centre, with instances that are homes of groups and others that forward sessions to them.
+
+#![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
+
+mod support;
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use gullspar_direct::{Member, Proxy, serve_caller};
+use gullspar_statement::FailureCode;
+use support::{FakeCaller, Fault, LATEST, World, pause, run, until};
+
+/// Number of instances: more than are all contacts of each other, and so many that most are home of no group.
+const FLEET: u16 = 15;
+
+const DATA_CENTRES: u16 = 3;
+
+/// Connections to each target, fewer than two for each instance.
+const CONNECTIONS: u32 = 10;
+
+/// Time within which all partitioned instances leave rotation, in milliseconds: one second to detect the partition,
+/// and the time after which reports of homes expire.
+const LEAVE_ROTATION_TIMEOUT_MS: u64 = 2000;
+
+/// Time within which a partitioned instance refuses a request; well below the deadline of one second.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(300);
+
+fn data_centre_index(number: u16) -> u16 {
+    number % DATA_CENTRES
+}
+
+fn in_data_centre(index: u16) -> Vec<u16> {
+    (1..=FLEET).filter(|it| data_centre_index(*it) == index).collect()
+}
+
+/// Starts a fleet over three data centres and waits until all its instances are ready.
+async fn start_fleet(world: &World) -> Vec<Rc<Proxy>> {
+    let name = |number| format!("dc-{}", data_centre_index(number));
+    let member =
+        |number| Member { data_centre: name(number).as_str().into(), ..support::member(number) };
+    let members: Vec<Member> = (1..=FLEET).map(member).collect();
+    let proxies = world.fleet(&members, CONNECTIONS);
+    until(4000, "all are ready", || proxies.iter().all(|it| it.is_ready())).await;
+    // Instances that are known only from the registry count as expected for three seconds.
+    pause(3000).await;
+    proxies
+}
+
+fn instance(proxies: &[Rc<Proxy>], number: u16) -> &Rc<Proxy> {
+    &proxies[usize::from(number) - 1]
+}
+
+/// Partitions the instances `partitioned` from all others. With `from_targets` they can reach no target; without it the
+/// others can reach none.
+fn partition(world: &World, partitioned: &[u16], from_targets: bool) {
+    let others: Vec<u16> = (1..=FLEET).filter(|it| !partitioned.contains(it)).collect();
+    world.network.cut_between(partitioned, &others);
+    let cut_from_targets = if from_targets { partitioned.to_vec() } else { others };
+    for member in 0..3 {
+        cut_from_targets.iter().for_each(|it| world.group.set(member, Fault::DarkTo(*it)));
+    }
+}
+
+/// The code with which a new session at `proxy` is refused, and how long that takes.
+async fn opening_refusal(proxy: &Rc<Proxy>) -> (FailureCode, Duration) {
+    let (caller, link) = FakeCaller::new();
+    compio::runtime::spawn(serve_caller(Rc::clone(proxy), Box::new(link))).detach();
+    let started = Instant::now();
+    let code = caller.opening_refused(LATEST).await;
+    (code, started.elapsed())
+}
+
+/// Guards against partitioned instances that stay in rotation and refuse each caller late, because an instance
+/// without groups has no leader that it could miss.
+#[test]
+fn partitioned_instances_without_groups_leave_rotation() {
+    run(async {
+        let world = World::new();
+        let proxies = start_fleet(&world).await;
+        let partitioned = in_data_centre(0);
+        let without_groups =
+            partitioned.iter().filter(|it| instance(&proxies, **it).groups().is_empty()).count();
+        assert!(
+            without_groups > 0 && without_groups < partitioned.len(),
+            "{without_groups} of {}",
+            partitioned.len()
+        );
+        partition(&world, &partitioned, true);
+        let all_out_of_rotation =
+            || partitioned.iter().all(|it| !instance(&proxies, *it).is_ready());
+        until(
+            LEAVE_ROTATION_TIMEOUT_MS,
+            "all partitioned instances are out of rotation",
+            all_out_of_rotation,
+        )
+        .await;
+        for number in &partitioned {
+            let (code, elapsed) = opening_refusal(instance(&proxies, *number)).await;
+            assert_eq!(code, FailureCode::Congested);
+            assert!(elapsed < REFUSAL_TIMEOUT, "instance {number} refuses after {elapsed:?}");
+        }
+        let others = (1..=FLEET).filter(|it| !partitioned.contains(it));
+        assert!(
+            others.clone().all(|it| instance(&proxies, it).is_ready()),
+            "the others stay in rotation"
+        );
+
+        world.network.heal();
+        (0..3).for_each(|it| world.group.mend(it));
+        until(3000, "all are ready again", || proxies.iter().all(|it| it.is_ready())).await;
+        for number in &partitioned {
+            world.caller(instance(&proxies, *number), LATEST).await.done("WRITE slot mine").await;
+        }
+    });
+}
+
+/// Guards against opening a session that is closed at once as idle: the outcome of a request already on its way would
+/// be unknown.
+#[test]
+fn a_partitioned_instance_refuses_to_open_sessions() {
+    run(async {
+        let world = World::new();
+        let proxies = start_fleet(&world).await;
+        let partitioned = in_data_centre(0);
+        let open = world.caller(instance(&proxies, partitioned[0]), LATEST).await;
+        partition(&world, &partitioned, true);
+        assert_eq!(open.next().await, None, "an idle session is closed in the end");
+        let (code, _) = opening_refusal(instance(&proxies, partitioned[0])).await;
+        assert_eq!(code, FailureCode::Congested);
+    });
+}
+
+/// Guards against instances that leave rotation although the homes in their data centre reach the leaders and report
+/// them.
+#[test]
+fn a_data_centre_partitioned_with_the_leaders_stays_in_rotation() {
+    run(async {
+        let world = World::new();
+        let proxies = start_fleet(&world).await;
+        let partitioned = in_data_centre(0);
+        partition(&world, &partitioned, false);
+        pause(LEAVE_ROTATION_TIMEOUT_MS).await;
+        let out_of_rotation: Vec<u16> =
+            partitioned.iter().copied().filter(|it| !instance(&proxies, *it).is_ready()).collect();
+        assert_eq!(out_of_rotation, Vec::<u16>::new(), "out of rotation");
+    });
+}
