--- a/crates/gullspar_direct/tests/alternate_route.rs
+++ b/crates/gullspar_direct/tests/alternate_route.rs
@@ -65,7 +65,7 @@
         let _proxies = world.instances(3).await;
         (0..3).for_each(|it| world.group.set(it, Fault::FullTo(4)));
         let late_instance = world.instance(4);
-        // It receives the first heartbeats of the others within two intervals.
+        // The new instance receives heartbeats from the others within two intervals.
         pause(450).await;
         let caller = world.caller(&late_instance, LATEST).await;
         let started = std::time::Instant::now();
--- a/crates/gullspar_direct/tests/partitioned_data_centre.rs
+++ b/crates/gullspar_direct/tests/partitioned_data_centre.rs
@@ -56,9 +56,9 @@
 fn partition(world: &World, partitioned: &[u16], from_targets: bool) {
     let others: Vec<u16> = (1..=FLEET).filter(|it| !partitioned.contains(it)).collect();
     world.network.cut_between(partitioned, &others);
-    let cut_from_targets = if from_targets { partitioned.to_vec() } else { others };
+    let without_targets = if from_targets { partitioned.to_vec() } else { others };
     for member in 0..3 {
-        cut_from_targets.iter().for_each(|it| world.group.set(member, Fault::DarkTo(*it)));
+        without_targets.iter().for_each(|it| world.group.set(member, Fault::DarkTo(*it)));
     }
 }
 
@@ -72,7 +72,7 @@
 }
 
 /// Guards against partitioned instances that stay in rotation and refuse each caller late, because an instance
-/// without groups has no leader that it could miss.
+/// without groups has no leader whose loss it could detect.
 #[test]
 fn partitioned_instances_without_groups_leave_rotation() {
     run(async {
