--- a/crates/gullspar_direct/tests/leaving.rs
+++ b/crates/gullspar_direct/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaders that leave.
+//! Leaders that are leaving.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -7,11 +7,10 @@
 use gullspar_statement::FailureCode;
 use support::{Fault, LATEST, LEAVING_SERVES, REPLACED_WITHIN, World, pause, run, until};
 
-/// Symptom: a release of the leader loses confirmed bookings.
-/// Events: the leader says that it leaves; its successor has not received the last commits.
-/// Cause: the handover did not wait for them.
+/// Guards against the loss of acknowledged commits when a leaving leader is replaced by a replica that has not
+/// received them.
 #[test]
-fn a_leaving_leader_hands_over_with_all_its_commits() {
+fn a_leaving_leader_is_replaced_only_by_a_replica_with_all_its_commits() {
     run(async {
         let world = World::new();
         let proxies = world.instances(2).await;
@@ -22,19 +21,17 @@
         world.group.leaves(0);
         proxies.iter().for_each(|it| world.list_targets(it, 2));
         pause(1000).await;
-        assert_eq!(world.promoter.orders(), [], "nobody has the last commit yet");
+        assert_eq!(world.promoter.orders(), [], "no replica has the last commit yet");
         world.group.mend(2);
-        until(3000, "the one that has it leads", || world.group.leader() == Some("m2".into()))
+        until(3000, "the replica that has it leads", || world.group.leader() == Some("m2".into()))
             .await;
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()));
     });
 }
 
-/// Symptom: a target gets statements until it ends, long after it said that it leaves.
-/// Events: a leader leaves while nobody can take its place.
-/// Cause: it was given work for as long as it led.
+/// Guards against a leaving leader that gets statements until it ends because no replica can replace it.
 #[test]
-fn a_leaving_leader_without_a_successor_gets_no_new_work_in_the_end() {
+fn a_leaving_leader_without_a_successor_gets_no_new_work_after_a_timeout() {
     run(async {
         let world = World::new();
         let proxies = world.instances(2).await;
@@ -45,12 +42,12 @@
         let caller = world.caller(&proxies[0], LATEST).await;
         caller.done("WRITE slot mine").await;
         pause(LEAVING_SERVES.as_millis() as u64).await;
-        let asked = std::time::Instant::now();
+        let started = std::time::Instant::now();
         assert_eq!(caller.refused("WRITE slot again").await, FailureCode::Congested);
         assert_eq!(caller.refused("READ slot").await, FailureCode::Congested);
         caller.done("BEGIN").await;
         assert_eq!(caller.refused("READ slot").await, FailureCode::Congested);
-        assert!(asked.elapsed().as_millis() < 300, "refused at once, not {:?}", asked.elapsed());
+        assert!(started.elapsed().as_millis() < 300, "refused after {:?}", started.elapsed());
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()));
         [1, 2].into_iter().for_each(|it| world.group.mend(it));
         world.succeeded("m0", REPLACED_WITHIN).await;
@@ -58,9 +55,9 @@
     });
 }
 
-/// A leader that stays after all serves on, however long ago it said that it leaves.
+/// Guards against a leader that gets no work although it no longer announces its leaving.
 #[test]
-fn a_leader_that_stays_after_all_is_given_work_again() {
+fn a_leader_that_no_longer_leaves_gets_work_again() {
     run(async {
         let world = World::new();
         let proxy = world.instance(1);
--- a/crates/gullspar_direct/tests/started_anew.rs
+++ b/crates/gullspar_direct/tests/restarted.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under the name that they had and know nothing of before.
+//! Targets that restart under the same name and have lost their state.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -9,11 +9,9 @@
 use gullspar_statement::FailureCode;
 use support::{BOUNDED, Fault, LATEST, OWN, catalogue, leader_of, pause, run, settled, until};
 
-/// Symptom: replicas that have just been started get no reads for seconds, and their leader has too many.
-/// Events: two replicas answer slowly, are restarted and are fast again.
-/// Cause: what was learnt of their statements before was held against them.
+/// Guards against restarted replicas that get no reads because they were slow before the restart.
 #[test]
-fn slowness_before_the_start_is_not_held_against_a_target() {
+fn statement_times_before_a_restart_are_discarded() {
     run(async {
         let (world, proxy) = settled().await;
         let caller = world.caller(&proxy, BOUNDED).await;
@@ -27,22 +25,20 @@
         caller.done("READ slot").await;
         assert!(
             !world.is_read_from_leader(),
-            "a replica that has just started serves reads at once"
+            "a replica that has just restarted serves reads at once"
         );
     });
 }
 
-/// Symptom: writes go to a member that leads no more and are refused one by one.
-/// Events: a leader starts again as a replica.
-/// Cause: it was taken to lead until it refused.
+/// Guards against writes to a former leader that has restarted as a replica.
 #[test]
-fn a_leader_that_started_anew_leads_only_once_it_says_so() {
+fn a_restarted_leader_leads_only_once_it_reports_so() {
     run(async {
         let (world, proxy) = settled().await;
         world.group.set(0, Fault::Dark);
         world.group.start_anew(0);
         world.list_targets(&proxy, 2);
-        until(100, "nobody is known to lead", || leader_of(&proxy).is_none()).await;
+        until(100, "no leader is known", || leader_of(&proxy).is_none()).await;
         world.group.promote(&"m1".into());
         world.group.mend(0);
         until(1000, "the new leader is known", || leader_of(&proxy) == Some("m1".into())).await;
@@ -50,11 +46,9 @@
     });
 }
 
-/// Symptom: a caller's prepared statement is unknown, or its values are missing.
-/// Events: its connection is used again after the target has started anew.
-/// Cause: connections of the earlier start were kept.
+/// Guards against missing session values and prepared statements on connections from before the restart.
 #[test]
-fn connections_to_the_earlier_start_are_not_used() {
+fn connections_from_before_a_restart_are_not_used() {
     run(async {
         let (world, proxy) = settled().await;
         let caller = world.caller(&proxy, OWN).await;
@@ -75,11 +69,9 @@
     });
 }
 
-/// Symptom: a leader that lost its log is believed to hold what it was asked to write before.
-/// Events: it commits; no replica hears of it; it starts anew with an empty log and leads still.
-/// Cause: only whether it leads was asked, not what its log holds.
+/// Guards against a commit that is acknowledged by a restarted leader whose log no longer holds it.
 #[test]
-fn a_leader_that_lost_its_log_does_not_stand_for_the_commit() {
+fn a_leader_that_lost_its_log_does_not_confirm_the_commit() {
     run(async {
         let (world, proxy) = settled().await;
         let caller = world.caller(&proxy, LATEST).await;
@@ -95,9 +87,7 @@
     });
 }
 
-/// Symptom: an instance connects to whatever address somebody wrote into the store.
-/// Events: an entry names a group that the configuration does not know.
-/// Cause: a group without limits was served like any other.
+/// Guards against connections to any address that an entry in the store names.
 #[test]
 fn a_target_of_a_group_that_is_not_configured_is_not_connected_to() {
     run(async {
@@ -111,11 +101,11 @@
         pause(50).await;
         assert!(proxy.group(&"nobody's".into()).is_none());
         assert_eq!(world.group.connections(1), 0);
-        // Once it is configured, its targets are used.
-        let known: Catalogue = catalogue(2);
+        // Once the group is configured, its targets are used.
+        let configured: Catalogue = catalogue(2);
         let limits = GroupLimits { connections: 60 };
-        let groups = known.groups.into_iter().chain([(GroupName::new("nobody's"), limits)]);
-        proxy.directory.apply_catalogue(Catalogue { groups: groups.collect(), ..known });
+        let groups = configured.groups.into_iter().chain([(GroupName::new("nobody's"), limits)]);
+        proxy.directory.apply_catalogue(Catalogue { groups: groups.collect(), ..configured });
         pause(200).await;
         assert!(proxy.group(&"nobody's".into()).is_some());
         let _ = world.caller(&proxy, BOUNDED).await;
--- a/crates/gullspar_direct/tests/start_behind_a_cut.rs
+++ b/crates/gullspar_direct/tests/start_in_a_partition.rs
@@ -1,4 +1,4 @@
-//! Instances that start where they can't serve.
+//! Instances that start without access to the leaders.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -11,19 +11,16 @@
 use gullspar_statement::FailureCode;
 use support::{FakeCaller, Fault, LATEST, World, pause, run, until};
 
-/// The time in which an instance that has just started hears of its neighbours, in milliseconds.
-const HEARD_WITHIN: u64 = 600;
+/// Time in which an instance that has just started receives the first messages of its neighbours, in milliseconds.
+const FIRST_CONTACT_TIMEOUT: u64 = 600;
 
-/// What a refusal at once may take on a busy machine.
-const AT_ONCE: Duration = Duration::from_millis(300);
+/// Maximum time of an immediate refusal on a busy machine.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Symptom: 290 of 310 callers of a data centre get no answer within two seconds, and others come in their place.
-/// Events: the data centre is cut off; an instance there is restarted behind the cut; its neighbour was there
-/// before.
-/// Cause: the one that started took the two of them for all: it called itself ready, and kept callers waiting for
-/// leaders that it could not reach.
+/// Guards against an instance in a partitioned data centre that takes its neighbours for the whole fleet, becomes
+/// ready and keeps callers waiting for unreachable leaders.
 #[test]
-fn an_instance_that_starts_behind_a_cut_is_not_ready_and_refuses_at_once() {
+fn an_instance_that_starts_in_a_partition_is_not_ready_and_refuses_at_once() {
     run(async {
         let world = World::new();
         let proxies = world.instances(4).await;
@@ -34,13 +31,13 @@
         }
         until(3000, "its neighbour is not ready", || !proxies[0].is_ready()).await;
         let started = world.instance(5);
-        pause(HEARD_WITHIN).await;
+        pause(FIRST_CONTACT_TIMEOUT).await;
         assert!(!started.is_ready());
         let (caller, link) = FakeCaller::new();
         compio::runtime::spawn(serve_caller(Rc::clone(&started), Box::new(link))).detach();
         let asked = Instant::now();
         assert_eq!(caller.opening_refused(LATEST).await, FailureCode::Congested);
-        assert!(asked.elapsed() < AT_ONCE, "refused after {:?}", asked.elapsed());
+        assert!(asked.elapsed() < REFUSAL_TIMEOUT, "refused after {:?}", asked.elapsed());
         world.network.heal();
         (0..3).for_each(|it| world.group.mend(it));
         until(3000, "both are ready", || started.is_ready() && proxies[0].is_ready()).await;
@@ -48,19 +45,18 @@
     });
 }
 
-/// Symptom: callers are sent to an instance that has just started and are refused, while others could serve them.
-/// Cause: with a configuration and a list of targets it called itself ready, whether a leader was in reach or not.
+/// Guards against callers that are routed to a new instance before it has reached a leader.
 #[test]
 fn an_instance_that_has_reached_no_leader_is_not_ready() {
     run(async {
         let world = World::new();
         (0..3).for_each(|it| world.group.set(it, Fault::DarkTo(1)));
         let proxy = world.instance(1);
-        pause(HEARD_WITHIN).await;
+        pause(FIRST_CONTACT_TIMEOUT).await;
         assert!(!proxy.is_ready());
         (0..3).for_each(|it| world.group.mend(it));
         until(3000, "it is ready", || proxy.is_ready()).await;
-        // Once it was, a leader that fails for everybody does not make it unready.
+        // Once it is ready, a leader that fails for all instances does not make it unready.
         world.group.set(0, Fault::Dark);
         pause(500).await;
         assert!(proxy.is_ready());
--- a/crates/gullspar_direct/tests/statements.rs
+++ b/crates/gullspar_direct/tests/statements.rs
@@ -1,4 +1,4 @@
-//! Statements of callers through one instance.
+//! Statements of callers that one instance serves.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -8,9 +8,9 @@
 use gullspar_statement::FailureCode;
 use support::{BOUNDED, Fault, LATEST, OWN, World, pause, run, settled, until};
 
-/// A read that may be old runs on a replica, and one that may not runs on the leader.
+/// A read that may be stale runs on a replica, and a read of the latest data on the leader.
 #[test]
-fn reads_go_where_their_freshness_lets_them() {
+fn the_freshness_of_reads_selects_their_targets() {
     run(async {
         let (world, proxy) = settled().await;
         world.caller(&proxy, BOUNDED).await.done("READ a").await;
@@ -21,26 +21,23 @@
     });
 }
 
-/// Symptom: a caller does not see the row that it has just written.
-/// Events: it writes on the leader; its next read goes to a replica that has not received the write.
-/// Cause: the replica was not asked to have reached the session's own commit.
+/// Guards against a caller that does not see its own write because its next read runs on a replica without it.
 #[test]
-fn a_session_sees_its_own_writes_although_replicas_hear_nothing() {
+fn a_session_sees_its_own_writes_although_replicas_receive_nothing() {
     run(async {
         let (world, proxy) = settled().await;
         world.group.set(1, Fault::Deaf);
         world.group.set(2, Fault::Deaf);
         let caller = world.caller(&proxy, OWN).await;
-        for turn in 0..20 {
-            caller.done(&format!("WRITE item {turn}")).await;
-            assert_eq!(caller.done("READ item").await, [turn.to_string()]);
+        for value in 0..20 {
+            caller.done(&format!("WRITE item {value}")).await;
+            assert_eq!(caller.done("READ item").await, [value.to_string()]);
         }
     });
 }
 
-/// Symptom: a map shows data older than its class allows.
-/// Events: replicas stop receiving; the age limit passes; a read goes to one of them.
-/// Cause: the point asked of the replica came from a reading of the leader that was too old.
+/// Guards against reads on a replica that is older than the maximum age, because the position sample it was
+/// compared with was too old.
 #[test]
 fn a_read_is_never_older_than_its_class_allows() {
     run(async {
@@ -55,9 +52,7 @@
     });
 }
 
-/// Symptom: a booking is confirmed and the next look at it shows the slot free.
-/// Events: a leader is superseded behind a cut; it still answers reads from its own log.
-/// Cause: reads of the latest data ran bare, and a member that lost the lead answers those.
+/// Guards against reads of the latest data that a partitioned, superseded leader answers from its own log.
 #[test]
 fn a_superseded_leader_is_not_read_from() {
     run(async {
@@ -70,9 +65,7 @@
     });
 }
 
-/// Symptom: a visitor's map hangs for a second although two other targets are idle.
-/// Events: a target runs the read and its answer is lost.
-/// Cause: only one target was asked, until the statement's time was over.
+/// Guards against a read that waits for one target until its deadline although other targets are idle.
 #[test]
 fn a_read_whose_answer_is_lost_is_served_by_another_target() {
     run(async {
@@ -86,9 +79,7 @@
     });
 }
 
-/// Symptom: a tour slot is booked twice.
-/// Events: the leader runs the write and the connection breaks before its answer.
-/// Cause: the write was tried again, although nobody could know whether it had run.
+/// Guards against a write that runs twice because it was retried after its answer was lost.
 #[test]
 fn a_write_whose_answer_is_lost_is_unknown_and_not_repeated() {
     run(async {
@@ -100,9 +91,9 @@
     });
 }
 
-/// A write that the leader was too busy for did not run, and is tried again until there is no time left.
+/// A write that a busy leader refused did not run, and is retried until its deadline.
 #[test]
-fn a_write_waits_out_a_busy_leader() {
+fn a_write_is_retried_while_the_leader_is_busy() {
     run(async {
         let (world, proxy) = settled().await;
         world.group.set(0, Fault::Busy);
@@ -115,9 +106,7 @@
     });
 }
 
-/// Symptom: a caller is told that nothing of its transaction is kept, and finds it kept.
-/// Events: the connection breaks at COMMIT, which the target carried out.
-/// Cause: a lost answer to COMMIT was taken for a lost transaction.
+/// Guards against a committed transaction that is reported as rolled back because the answer to COMMIT was lost.
 #[test]
 fn a_lost_commit_is_unknown_only_if_something_was_written() {
     run(async {
@@ -135,9 +124,8 @@
     });
 }
 
-/// Symptom: forty people at a door meant for twenty.
-/// Events: in a transaction, the connection breaks at a write; the caller repeats the transaction.
-/// Cause: the first one had been committed all the same.
+/// Guards against a transaction that is committed although its connection broke at a write, so that the caller
+/// runs it a second time.
 #[test]
 fn a_transaction_that_loses_its_connection_before_commit_is_rolled_back() {
     run(async {
@@ -158,9 +146,9 @@
     });
 }
 
-/// All statements of a transaction run on one connection, and none of another caller's between them.
+/// All statements of a transaction run on one connection, and none of another caller between them.
 #[test]
-fn a_transaction_keeps_its_connection_to_itself() {
+fn a_transaction_has_its_connection_to_itself() {
     run(async {
         let (world, proxy) = settled().await;
         let one = world.caller(&proxy, LATEST).await;
@@ -176,14 +164,13 @@
         let of_one: Vec<u64> =
             ran.iter().filter(|it| !it.text.contains("other")).map(|it| it.connection).collect();
         assert!(of_one.iter().all(|it| *it == of_one[0]), "{ran:?}");
-        let mixed = ran.iter().any(|it| it.text.contains("other") && it.connection == of_one[0]);
-        assert!(!mixed, "{ran:?}");
+        let is_shared =
+            ran.iter().any(|it| it.text.contains("other") && it.connection == of_one[0]);
+        assert!(!is_shared, "{ran:?}");
     });
 }
 
-/// Symptom: a statement runs with another caller's settings, or another caller's prepared statement.
-/// Events: two sessions use the same names for different things and share the target's connections.
-/// Cause: a pooled connection was handed on as the session before had left it.
+/// Guards against pooled connections that keep the session values or prepared statements of another session.
 #[test]
 fn sessions_do_not_see_each_others_values_and_prepared_statements() {
     run(async {
@@ -215,11 +202,9 @@
     });
 }
 
-/// Symptom: a target runs out of connections while most of them do nothing.
-/// Events: callers open transactions and go for lunch.
-/// Cause: nothing ended a transaction that stood still.
+/// Guards against idle transactions that use up the connections of a target.
 #[test]
-fn a_transaction_that_stands_still_is_rolled_back() {
+fn an_idle_transaction_is_rolled_back() {
     run(async {
         let (world, proxy) = settled().await;
         let caller = world.caller(&proxy, LATEST).await;
@@ -232,9 +217,9 @@
     });
 }
 
-/// A caller that leaves in the middle of a transaction leaves nothing behind.
+/// Guards against a transaction that stays open after its caller has disconnected.
 #[test]
-fn a_caller_that_leaves_is_rolled_back() {
+fn the_transaction_of_a_caller_that_disconnects_is_rolled_back() {
     run(async {
         let (world, proxy) = settled().await;
         let caller = world.caller(&proxy, LATEST).await;
@@ -246,9 +231,9 @@
     });
 }
 
-/// A transaction that only reads refuses writes wherever it runs.
+/// Guards against writes in a read-only transaction, whichever target runs it.
 #[test]
-fn a_reading_transaction_writes_nothing() {
+fn a_read_only_transaction_refuses_writes() {
     run(async {
         let (world, proxy) = settled().await;
         let caller = world.caller(&proxy, LATEST).await;
@@ -260,11 +245,9 @@
     });
 }
 
-/// Symptom: callers lose answers at every rolling restart.
-/// Events: the instance is told to end while a statement runs and a transaction is open.
-/// Cause: sessions were closed without regard to what was under way.
+/// Guards against answers that are lost at a rolling restart because their sessions were closed.
 #[test]
-fn a_shutdown_answers_what_is_under_way() {
+fn a_shutdown_completes_running_statements_and_open_transactions() {
     run(async {
         let (world, proxy) = settled().await;
         world.group.work_ms.set(150);
@@ -283,12 +266,12 @@
         assert_eq!(idle.next().await, None, "the idle session is closed");
         open.done("WRITE slot other").await;
         open.done("COMMIT").await;
-        assert_eq!(open.next().await, None, "the open transaction had its time");
+        assert_eq!(open.next().await, None, "the session is closed after its transaction");
         assert_eq!(proxy.shutdown.sessions(), 0);
     });
 }
 
-/// A service that is not there is refused, and one that goes away is refused from the next statement on.
+/// Guards against statements of a service that the configuration no longer has.
 #[test]
 fn services_come_and_go_with_the_configuration() {
     run(async {
@@ -306,12 +289,9 @@
     });
 }
 
-/// Symptom: after a power loss of all instances, nobody is served for four seconds.
-/// Events: targets keep the connections of instances that lost power for three seconds; the instances
-/// that start again find no connection left.
-/// Cause: each instance kept more idle connections than it needed.
+/// Guards against instances whose idle connections leave none for instances that restart after a power loss.
 #[test]
-fn idle_connections_are_given_up_but_for_one() {
+fn idle_connections_are_closed_but_for_one() {
     run(async {
         let (world, proxy) = settled().await;
         world.group.work_ms.set(50);
@@ -328,10 +308,7 @@
     });
 }
 
-/// Symptom: a booking that was confirmed is gone after the leader crashed.
-/// Events: the leader commits and answers; it crashes before a replica has received the commit; another
-/// member is promoted without it.
-/// Cause: the caller was told of success by the leader's word alone.
+/// Guards against the loss of an acknowledged write when the leader crashes before a replica has received it.
 #[test]
 fn a_write_is_acknowledged_once_a_replica_has_it() {
     run(async {
@@ -342,7 +319,7 @@
         caller.begin_to_say("WRITE slot mine");
         pause(40).await;
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()), "the leader has it");
-        assert!(!caller.has_answer(), "and the caller is not told yet");
+        assert!(!caller.has_answer(), "and the caller has no answer yet");
         world.group.mend(1);
         assert!(caller.next().await.unwrap().result.is_ok());
         world.group.promote(&"m1".into());
@@ -350,10 +327,9 @@
     });
 }
 
-/// With replicas that receive nothing, a write is acknowledged by the leader alone after a moment: the
-/// operators chose so, and the log tells.
+/// While no replica receives anything, a write is acknowledged by the leader alone after a short wait.
 #[test]
-fn a_write_does_not_wait_for_deaf_replicas_for_ever() {
+fn a_write_does_not_wait_forever_for_replicas_that_receive_nothing() {
     run(async {
         let (world, proxy) = settled().await;
         world.group.set(1, Fault::Deaf);
@@ -366,8 +342,7 @@
     });
 }
 
-/// Symptom: a caller is told of success by a leader that was superseded.
-/// Events: the leader commits; before a replica has the commit, another term begins without it.
+/// Guards against an acknowledgement after a new term has begun without the commit.
 #[test]
 fn a_write_of_a_superseded_leader_is_not_acknowledged() {
     run(async {
@@ -385,12 +360,9 @@
     });
 }
 
-/// Symptom: a confirmed booking is gone after a failover that happened before it was confirmed.
-/// Events: the leader commits; no replica can be asked; another member is promoted without the commit; the
-/// caller is told of success when the wait for a replica is over.
-/// Cause: it was not asked whether the leader still led.
+/// Guards against an acknowledgement by a leader that was superseded while no replica was reachable.
 #[test]
-fn a_leader_that_was_superseded_unseen_does_not_acknowledge_alone() {
+fn a_leader_superseded_without_notice_does_not_acknowledge_alone() {
     run(async {
         let (world, proxy) = settled().await;
         world.group.set(1, Fault::DarkTo(1));
@@ -405,11 +377,9 @@
     });
 }
 
-/// Symptom: targets spend a good part of their slots on new connections, most of all after a restart.
-/// Events: a read on the leader is answered; its rollback is still on its way when the next read comes.
-/// Cause: the connection was not idle yet, and another one was opened at once.
+/// Guards against a new connection for each read while the previous connection is still rolling back.
 #[test]
-fn a_connection_that_is_about_to_come_back_is_waited_for() {
+fn a_read_waits_for_a_connection_that_is_rolling_back() {
     run(async {
         let world = World::new();
         world.group.rollback_ms.set(1);
--- a/crates/gullspar_direct/tests/placing.rs
+++ b/crates/gullspar_direct/tests/target_selection.rs
@@ -1,4 +1,4 @@
-//! Where reads go under load.
+//! Target selection for reads under load.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -11,13 +11,12 @@
 use support::{BOUNDED, Fault, run, settled};
 use test_case::test_case;
 
-/// How long replicas are read from again after they were slow: four halvings of what was learnt, and some for
-/// the reads in which it shows.
-const FORGIVEN_WITHIN: Duration = Duration::from_millis(4000);
+/// Maximum time until replicas that were slow are read from again: their mean statement time is halved four
+/// times, and reads must show the effect.
+const RECOVERY_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// Symptom: a tenth of one group's callers is refused for the rest of the day, long after its replicas were slow.
-/// Events: replicas answer slowly for a while; reads go to the leader; the replicas recover.
-/// Cause: the mean of what their statements take changes with statements only, and they got none.
+/// Guards against replicas that get no reads after they have recovered, because their mean statement time
+/// changes only with statements.
 #[test]
 fn replicas_that_were_slow_are_read_from_again() {
     run(async {
@@ -29,17 +28,15 @@
         }
         let mended = Instant::now();
         while world.is_read_from_leader() {
-            assert!(mended.elapsed() < FORGIVEN_WITHIN, "replicas are not read from again");
+            assert!(mended.elapsed() < RECOVERY_TIMEOUT, "replicas are not read from again");
             caller.done("READ slot").await;
         }
     });
 }
 
-/// Symptom: in a burst some targets have long queues while others idle.
-/// Events: thirty reads arrive at once; a target is chosen for each before any was sent.
-/// Cause: only statements on their way counted, not those that wait for a place.
+/// Guards against a burst that goes to one target because statements that wait for a permit are not counted.
 #[test]
-fn a_burst_is_spread_over_the_replicas() {
+fn a_burst_is_spread_over_the_targets() {
     run(async {
         let (world, proxy) = settled().await;
         world.group.work_ms.set(50);
@@ -54,14 +51,11 @@
     });
 }
 
-/// Symptom: for as long as one replica fails what it is asked, a tenth of a group's callers get errors, though two
-/// sound targets could serve them.
-/// Events: the replica answers all checks, and fails each statement.
-/// Cause: only targets that broke off or refused were passed over; and a transaction that only reads was not begun
-/// anew elsewhere.
+/// Guards against reads and read-only transactions that fail on a failing replica although other targets could
+/// serve them.
 #[test_case(Fault::Fails; "all of them")]
 #[test_case(Fault::FailsHalf; "every other one")]
-fn a_target_that_fails_statements_is_passed_over(fault: Fault) {
+fn a_target_that_fails_statements_is_avoided(fault: Fault) {
     run(async {
         let (world, proxy) = settled().await;
         let caller = world.caller(&proxy, BOUNDED).await;
@@ -79,22 +73,20 @@
         let failed = world.group.failed.get();
         assert!((1..=10).contains(&failed), "it failed {failed} statements in two seconds");
         world.group.mend(1);
-        // Of two sound replicas the faster is read from, so that the other one has to go.
+        // Of two healthy replicas the faster one is read from, so the other one must fail.
         world.group.set(2, Fault::Fails);
         let mended = Instant::now();
         let on_replica = || world.group.ran().last().is_some_and(|it| it.member.as_str() == "m1");
         while !on_replica() {
-            assert!(mended.elapsed() < FORGIVEN_WITHIN * 2, "it is read from again");
+            assert!(mended.elapsed() < RECOVERY_TIMEOUT * 2, "it is read from again");
             caller.done("READ slot").await;
         }
     });
 }
 
-/// Symptom: a caller is told that its transaction did not run for want of room, though its read ran twice and failed.
-/// Events: one replica fails what it is asked, and the other targets are too busy.
-/// Cause: the failure was taken for one more place that could not take the transaction.
+/// Guards against a failure that is reported as overload because the other targets are busy.
 #[test]
-fn a_reading_transaction_that_fails_wherever_it_runs_is_told_so() {
+fn a_read_only_transaction_that_fails_on_a_target_is_reported_as_failed() {
     run(async {
         let (world, proxy) = settled().await;
         let caller = world.caller(&proxy, BOUNDED).await;
--- /dev/null
+++ b/crates/gullspar_direct/tests/updates.rs
@@ -0,0 +1,83 @@
+//! Updates that instances send to each other when they do not follow the platform's store.
+
+#![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
+
+mod support;
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use gullspar_direct::Proxy;
+use gullspar_model::Revision;
+use support::{World, catalogue, pause, run, until};
+
+/// A fleet size at which not all instances follow the store.
+const LARGE_FLEET: u16 = 18;
+
+/// Maximum time until all instances know each other, in milliseconds.
+const MEMBERSHIP_TIMEOUT: u64 = 3000;
+
+/// Maximum time until an instance has the updates of others, in milliseconds: a heartbeat, a poll and a fetch.
+const UPDATE_TIMEOUT: u64 = 1000;
+
+/// Waits until each instance knows all others, not only their number.
+async fn wait_for_membership(world: &World, proxies: &[Rc<Proxy>]) {
+    let knows_all =
+        |it: &Rc<Proxy>| it.peers.members(world.clock.boot_now()).len() == proxies.len();
+    until(MEMBERSHIP_TIMEOUT, "all know each other", || proxies.iter().all(knows_all)).await;
+}
+
+/// Guards against an instance that read an incomplete list right after an outage of the store, does not follow
+/// the store, and ignores the complete list of the followers.
+#[test]
+fn an_instance_that_is_not_a_follower_applies_the_list_of_followers() {
+    run(async {
+        let world = World::new();
+        let proxies: Vec<Rc<Proxy>> = (1..=LARGE_FLEET).map(|it| world.instance(it)).collect();
+        proxies.iter().for_each(|it| it.record_store_answer());
+        wait_for_membership(&world, &proxies).await;
+        proxies.iter().for_each(|it| it.record_store_answer());
+        let follower = proxies.iter().find(|it| it.should_follow_store()).unwrap();
+        let other = proxies.iter().find(|it| !it.should_follow_store()).unwrap();
+        world.list_targets(other, 5);
+        world.list_targets(follower, 9);
+        let is_updated = || other.directory.target_revision() == Revision::new(0, 9);
+        until(UPDATE_TIMEOUT, "it has the follower's list", is_updated).await;
+    });
+}
+
+/// Guards against an outdated configuration because only one instance is asked for updates, and it is
+/// unreachable.
+#[test]
+fn updates_are_fetched_from_any_instance_that_has_them() {
+    run(async {
+        let world = World::new();
+        let proxies: Vec<Rc<Proxy>> = (1..=4).map(|it| world.instance(it)).collect();
+        pause(UPDATE_TIMEOUT).await;
+        world.network.cut_one_way(4, 1);
+        world.network.cut_one_way(4, 2);
+        [0, 1, 2].into_iter().for_each(|it| {
+            proxies[it].directory.apply_catalogue(catalogue(7));
+        });
+        let is_updated = || proxies[3].directory.version() == 7;
+        until(UPDATE_TIMEOUT, "the configuration is there", is_updated).await;
+    });
+}
+
+/// Guards against a rate of retries that grows with the fleet and overloads the store at its return.
+#[test]
+fn only_followers_retry_a_silent_store_without_delay() {
+    run(async {
+        let world = World::new();
+        let proxies: Vec<Rc<Proxy>> = (1..=LARGE_FLEET).map(|it| world.instance(it)).collect();
+        wait_for_membership(&world, &proxies).await;
+        assert!(
+            proxies.iter().all(|it| it.should_follow_store()),
+            "no instance reaches it, so all try"
+        );
+        let immediate = proxies.iter().filter(|it| it.store_retry_delay().is_zero()).count();
+        assert_eq!(immediate, 2, "two followers in the only data centre");
+        let delays = proxies.iter().map(|it| it.store_retry_delay()).filter(|it| !it.is_zero());
+        assert!(delays.min().unwrap() >= Duration::from_millis(50 * u64::from(LARGE_FLEET)));
+    });
+}
