--- a/crates/gullspar_direct/tests/leaving.rs
+++ b/crates/gullspar_direct/tests/leaving.rs
@@ -55,7 +55,7 @@
     });
 }
 
-/// Guards against a leader that gets no work although it no longer announces its leaving.
+/// Guards against a leader that gets no work although it is no longer leaving.
 #[test]
 fn a_leader_that_no_longer_leaves_gets_work_again() {
     run(async {
--- a/crates/gullspar_direct/tests/start_in_a_partition.rs
+++ b/crates/gullspar_direct/tests/start_in_a_partition.rs
@@ -11,7 +11,7 @@
 use gullspar_statement::FailureCode;
 use support::{FakeCaller, Fault, LATEST, World, pause, run, until};
 
-/// Time in which an instance that has just started receives the first messages of its neighbours, in milliseconds.
+/// Time after which an instance that has just started has received messages of its neighbours, in milliseconds.
 const FIRST_CONTACT_TIMEOUT: u64 = 600;
 
 /// Maximum time of an immediate refusal on a busy machine.
--- a/crates/gullspar_direct/tests/statements.rs
+++ b/crates/gullspar_direct/tests/statements.rs
@@ -273,7 +273,7 @@
 
 /// Guards against statements of a service that the configuration no longer has.
 #[test]
-fn services_come_and_go_with_the_configuration() {
+fn services_follow_the_configuration() {
     run(async {
         let (world, proxy) = settled().await;
         let caller = world.caller(&proxy, BOUNDED).await;
@@ -291,7 +291,7 @@
 
 /// Guards against instances whose idle connections leave none for instances that restart after a power loss.
 #[test]
-fn idle_connections_are_closed_but_for_one() {
+fn idle_connections_except_one_are_closed() {
     run(async {
         let (world, proxy) = settled().await;
         world.group.work_ms.set(50);
--- a/crates/gullspar_direct/tests/target_selection.rs
+++ b/crates/gullspar_direct/tests/target_selection.rs
@@ -73,12 +73,15 @@
         let failed = world.group.failed.get();
         assert!((1..=10).contains(&failed), "it failed {failed} statements in two seconds");
         world.group.mend(1);
-        // Of two healthy replicas the faster one is read from, so the other one must fail.
+        // Of two healthy replicas the faster one is read from, so the other one fails from now on.
         world.group.set(2, Fault::Fails);
         let mended = Instant::now();
         let on_replica = || world.group.ran().last().is_some_and(|it| it.member.as_str() == "m1");
         while !on_replica() {
-            assert!(mended.elapsed() < RECOVERY_TIMEOUT * 2, "it is read from again");
+            assert!(
+                mended.elapsed() < RECOVERY_TIMEOUT * 2,
+                "the recovered replica is not read from again"
+            );
             caller.done("READ slot").await;
         }
     });
