--- a/crates/gullspar_direct/tests/claims.rs
+++ b/crates/gullspar_direct/tests/claims.rs
@@ -8,7 +8,9 @@
 
 use gullspar_direct::Claim;
 use gullspar_model::Term;
-use support::{Fault, LATEST, LEASE, REPLACED_WITHIN, World, leader_of, pause, run, until};
+use support::{
+    CLAIM_LEASE, FAILOVER_TIMEOUT_MS, Fault, LATEST, World, leader_of, pause, run, wait_until,
+};
 
 /// How often a promotion is ordered with one token while no answer comes.
 const ORDERS_IN_A_ROW: u32 = 4;
@@ -22,10 +24,10 @@
 fn instances_do_not_promote_in_turn() {
     run(async {
         let world = World::new();
-        world.promoter.takes_ms.set(1200);
+        world.promoter.duration_ms.set(1200);
         let _proxies = world.instances(5).await;
-        world.group.set(0, Fault::Dark);
-        world.succeeded("m0", REPLACED_WITHIN).await;
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         pause(500).await;
         let holders: BTreeSet<_> =
             world.promoter.orders().into_iter().map(|it| it.holder).collect();
@@ -42,8 +44,8 @@
         let world = World::new();
         let _proxies = world.instances(2).await;
         world.claims.loses_answers.set(true);
-        world.group.set(0, Fault::Dark);
-        world.succeeded("m0", REPLACED_WITHIN).await;
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         assert_eq!(world.promoter.orders().len(), 1);
     });
 }
@@ -56,9 +58,9 @@
     run(async {
         let world = World::new();
         let _proxies = world.instances(2).await;
-        world.promoter.ignores.set(ORDERS_IN_A_ROW);
-        world.group.set(0, Fault::Dark);
-        world.succeeded("m0", 2 * REPLACED_WITHIN).await;
+        world.promoter.orders_to_ignore.set(ORDERS_IN_A_ROW);
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.wait_for_new_leader("m0", 2 * FAILOVER_TIMEOUT_MS).await;
         let orders = world.promoter.orders();
         let (last, lost) = orders.split_last().unwrap();
         assert!(lost.iter().all(|it| it.token < last.token), "{orders:?}");
@@ -73,11 +75,13 @@
     run(async {
         let world = World::new();
         let _proxies = world.instances(2).await;
-        world.promoter.ignores.set(ORDERS_IN_A_ROW - 1);
-        world.group.set(0, Fault::Dark);
-        until(REPLACED_WITHIN, "a promotion is ordered", || !world.promoter.orders().is_empty())
-            .await;
-        world.succeeded("m0", 600).await;
+        world.promoter.orders_to_ignore.set(ORDERS_IN_A_ROW - 1);
+        world.group.inject_fault(0, Fault::Unresponsive);
+        wait_until(FAILOVER_TIMEOUT_MS, "a promotion is ordered", || {
+            !world.promoter.orders().is_empty()
+        })
+        .await;
+        world.wait_for_new_leader("m0", 600).await;
         let orders = world.promoter.orders();
         assert_eq!(orders.len(), ORDERS_IN_A_ROW as usize);
         assert!(orders.iter().all(|it| *it == orders[0]), "{orders:?}");
@@ -90,14 +94,14 @@
     run(async {
         let world = World::new();
         let proxies = world.instances(2).await;
-        world.claims.away.set(true);
-        world.group.set(0, Fault::Dark);
+        world.claims.unavailable.set(true);
+        world.group.inject_fault(0, Fault::Unresponsive);
         pause(2000).await;
         assert_eq!(world.promoter.orders(), []);
-        world.group.mend(0);
-        until(1000, "it is usable", || leader_of(&proxies[0]) == Some("m0".into())).await;
+        world.group.clear_faults(0);
+        wait_until(1000, "it is usable", || leader_of(&proxies[0]) == Some("m0".into())).await;
         pause(200).await;
-        world.caller(&proxies[0], LATEST).await.done("WRITE slot mine").await;
+        world.caller(&proxies[0], LATEST).await.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -118,7 +122,7 @@
             over_term: Term(0),
         });
         // Only instance 1 sees the leader dark; instance 2 is silent about it, and they are two.
-        world.group.set(0, Fault::DarkTo(1));
+        world.group.inject_fault(0, Fault::UnresponsiveTo(1));
         pause(1000).await;
         let by_one =
             world.promoter.orders().into_iter().filter(|it| it.holder == "instance-1".into());
@@ -133,10 +137,10 @@
 fn what_is_no_claim_is_claimed_over() {
     run(async {
         let world = World::new();
-        let garbage = world.claims.put_garbage();
+        let garbage = world.claims.put_invalid();
         let _proxies = world.instances(2).await;
-        world.group.set(0, Fault::Dark);
-        world.succeeded("m0", REPLACED_WITHIN).await;
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         assert!(world.promoter.orders()[0].token > garbage);
     });
 }
@@ -155,17 +159,17 @@
         let world = World::new();
         let proxies = world.instances(3).await;
         let leave = |member: usize, revision: u64| {
-            world.group.leaves(member);
-            proxies.iter().for_each(|it| world.list_targets(it, revision));
+            world.group.mark_leaving(member);
+            proxies.iter().for_each(|it| world.apply_target_list(it, revision));
         };
         leave(0, 2);
-        world.succeeded("m0", REPLACED_WITHIN).await;
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         let second = world.group.leader().unwrap();
         let holder = world.claims.holder().unwrap();
         let number = (1..=3).find(|it| support::member(*it).id == holder).unwrap();
-        world.claims.turn_away(number);
-        pause(LEASE.as_millis() as u64).await;
+        world.claims.make_unavailable_to(number);
+        pause(CLAIM_LEASE.as_millis() as u64).await;
         leave(if second == "m1".into() { 1 } else { 2 }, 3);
-        world.succeeded(second.as_str(), REPLACED_WITHIN).await;
+        world.wait_for_new_leader(second.as_str(), FAILOVER_TIMEOUT_MS).await;
     });
 }
--- a/crates/gullspar_direct/tests/connections.rs
+++ b/crates/gullspar_direct/tests/connections.rs
@@ -36,7 +36,7 @@
         let name = CustomerName::new(format!("customer-{number}"));
         customers.add(name, [KeyFingerprint::of(&key(number))], None);
     }
-    Catalogue { customers: Some(customers), ..support::with_connections(2, connections) }
+    Catalogue { customers: Some(customers), ..support::catalogue_with_connections(2, connections) }
 }
 
 /// Callers of all customers at some instances, each of which reads again and again.
@@ -56,12 +56,12 @@
             let (caller, link) = FakeCaller::new();
             compio::runtime::spawn(serve_caller(Rc::clone(proxy), Box::new(link))).detach();
             let service = if number % 4 == 0 { LATEST } else { BOUNDED };
-            caller.open_with(service, Some(&key(customer))).await;
+            caller.open_with_key(service, Some(&key(customer))).await;
             let (served, refused) = (Rc::clone(&load.served), Rc::clone(&load.refused));
             let stopped = Rc::clone(&load.stopped);
             let work = async move {
                 while !stopped.get() {
-                    match caller.say("READ slot").await.result {
+                    match caller.execute("READ slot").await.result {
                         Ok(_) => served.set(served.get() + 1),
                         Err(_) => refused.set(refused.get() + 1),
                     }
@@ -82,14 +82,14 @@
 }
 
 async fn fleet(world: &World, instances: u16, connections: u32) -> Vec<Rc<Proxy>> {
-    world.group.most_connections.set(Some(connections));
-    world.group.open_ms.set(OPEN_MS);
-    world.group.work_ms.set(5);
+    world.group.max_connections.set(Some(connections));
+    world.group.connect_duration_ms.set(OPEN_MS);
+    world.group.statement_duration_ms.set(5);
     let proxies: Vec<Rc<Proxy>> = (1..=instances)
         .map(|it| world.instance_as(member(it), configuration(connections)))
         .collect();
     for proxy in &proxies {
-        world.settle(proxy).await;
+        world.wait_for_leader(proxy).await;
     }
     proxies
 }
@@ -104,10 +104,10 @@
         let proxies = fleet(&world, instances, connections).await;
         let load = Load::start(&proxies, callers, 100).await;
         pause(1000).await;
-        let turned_away = world.group.turned_away.get();
+        let turned_away = world.group.refused_connections.get();
         let (served, refused) = load.count(Duration::from_secs(3)).await;
         assert!(served >= 50 * refused, "{served} served and {refused} refused");
-        let turned_away = world.group.turned_away.get() - turned_away;
+        let turned_away = world.group.refused_connections.get() - turned_away;
         assert!(turned_away <= 3 * MOST_TURNED_AWAY_PER_S, "{turned_away} turned away");
         load.stopped.set(true);
     });
@@ -121,12 +121,12 @@
         let proxies = fleet(&world, 2, 42).await;
         let load = Load::start(&proxies, 60, 100).await;
         pause(1000).await;
-        world.group.kept_for_the_dead.set(42);
-        let turned_away = world.group.turned_away.get();
+        world.group.stale_connections.set(42);
+        let turned_away = world.group.refused_connections.get();
         pause(3000).await;
-        let turned_away = world.group.turned_away.get() - turned_away;
+        let turned_away = world.group.refused_connections.get() - turned_away;
         assert!(turned_away <= 3 * MOST_TURNED_AWAY_PER_S, "{turned_away} turned away");
-        world.group.kept_for_the_dead.set(0);
+        world.group.stale_connections.set(0);
         let ended = Instant::now();
         compio::time::sleep(WHOLE_WITHIN).await;
         let (served, refused) = load.count(Duration::from_secs(2)).await;
@@ -144,12 +144,16 @@
         let proxies = fleet(&world, 1, 42).await;
         let (caller, link) = FakeCaller::new();
         compio::runtime::spawn(serve_caller(Rc::clone(&proxies[0]), Box::new(link))).detach();
-        caller.open_with(BOUNDED, Some(&key(1))).await;
-        caller.done("READ slot").await;
-        let opened = world.group.opened.get();
+        caller.open_with_key(BOUNDED, Some(&key(1))).await;
+        caller.execute_ok("READ slot").await;
+        let opened = world.group.opened_connections.get();
         for _ in 0..30 {
-            caller.done("READ slot").await;
+            caller.execute_ok("READ slot").await;
         }
-        assert!(world.group.opened.get() <= opened + 2, "{} opened", world.group.opened.get());
+        assert!(
+            world.group.opened_connections.get() <= opened + 2,
+            "{} opened",
+            world.group.opened_connections.get()
+        );
     });
 }
--- a/crates/gullspar_direct/tests/customers.rs
+++ b/crates/gullspar_direct/tests/customers.rs
@@ -32,15 +32,18 @@
     for (key, name, limit) in holders {
         customers.add(CustomerName::new(name), [KeyFingerprint::of(key)], *limit);
     }
-    Catalogue { customers: Some(customers), ..support::with_connections(version, connections) }
+    Catalogue {
+        customers: Some(customers),
+        ..support::catalogue_with_connections(version, connections)
+    }
 }
 
 const TWO: [(&str, &str, Option<RateLimit>); 2] =
     [("key-a", "abbey", NO_LIMIT), ("key-b", "barn", NO_LIMIT)];
 
 async fn served_by(world: &World, catalogue: Catalogue) -> Rc<Proxy> {
-    let proxy = world.instance_with(1, catalogue);
-    world.settle(&proxy).await;
+    let proxy = world.instance_with_catalogue(1, catalogue);
+    world.wait_for_leader(&proxy).await;
     proxy
 }
 
@@ -50,7 +53,7 @@
     let start = |it| world.instance_as(member(it), configuration());
     let proxies: Vec<Rc<Proxy>> = (1..=4).map(start).collect();
     for proxy in &proxies {
-        world.settle(proxy).await;
+        world.wait_for_leader(proxy).await;
     }
     pause(2500).await;
     proxies
@@ -60,7 +63,7 @@
     let (caller, link) = FakeCaller::new();
     let serve = gullspar_direct::serve_caller(Rc::clone(proxy), Box::new(link));
     compio::runtime::spawn(serve).detach();
-    caller.open_with(service, Some(key)).await;
+    caller.open_with_key(service, Some(key)).await;
     caller
 }
 
@@ -68,7 +71,7 @@
     let (caller, link) = FakeCaller::new();
     let serve = gullspar_direct::serve_caller(Rc::clone(proxy), Box::new(link));
     compio::runtime::spawn(serve).detach();
-    caller.opening_refused_with(service, key).await
+    caller.open_err_with_key(service, key).await
 }
 
 /// Guards against serving a key that no configuration holds.
@@ -80,7 +83,7 @@
         for key in [Some("key-c"), None] {
             assert_eq!(refused_at_opening(&proxy, LATEST, key).await, FailureCode::Unauthenticated);
         }
-        assert_eq!(world.group.ran().len(), 0);
+        assert_eq!(world.group.executed().len(), 0);
     });
 }
 
@@ -92,10 +95,10 @@
         let mut catalogue = with_customers(2, 60, &TWO);
         catalogue.routes.get_mut(&BOUNDED.into()).unwrap().needs_key = false;
         let proxy = served_by(&world, catalogue).await;
-        open(&proxy, BOUNDED, "whoever").await.done("READ slot").await;
-        assert_eq!(world.group.ran().last().unwrap().customer, None);
-        open(&proxy, BOUNDED, "key-a").await.done("READ slot").await;
-        assert_eq!(world.group.ran().last().unwrap().customer, Some("abbey".into()));
+        open(&proxy, BOUNDED, "whoever").await.execute_ok("READ slot").await;
+        assert_eq!(world.group.executed().last().unwrap().customer, None);
+        open(&proxy, BOUNDED, "key-a").await.execute_ok("READ slot").await;
+        assert_eq!(world.group.executed().last().unwrap().customer, Some("abbey".into()));
     });
 }
 
@@ -113,11 +116,11 @@
         ];
         for _ in 0..5 {
             for (caller, customer) in &callers {
-                caller.done("BEGIN READ").await;
-                caller.done("READ slot").await;
-                caller.done("COMMIT").await;
-                caller.done("READ slot").await;
-                let ran = world.group.ran();
+                caller.execute_ok("BEGIN READ").await;
+                caller.execute_ok("READ slot").await;
+                caller.execute_ok("COMMIT").await;
+                caller.execute_ok("READ slot").await;
+                let ran = world.group.executed();
                 let last = &ran[ran.len() - 3..];
                 assert!(last.iter().all(|it| it.customer == Some((*customer).into())), "{last:?}");
             }
@@ -134,16 +137,16 @@
         let idle = open(&proxy, LATEST, "key-a").await;
         let busy = open(&proxy, LATEST, "key-a").await;
         let other = open(&proxy, LATEST, "key-b").await;
-        busy.done("BEGIN").await;
-        busy.done("WRITE slot mine").await;
+        busy.execute_ok("BEGIN").await;
+        busy.execute_ok("WRITE slot mine").await;
         proxy.directory.apply_catalogue(with_customers(3, 60, &TWO[1..]));
         for caller in [&idle, &busy] {
-            let answer = caller.say("WRITE slot late").await;
+            let answer = caller.execute("WRITE slot late").await;
             assert_eq!(answer.result.unwrap_err().code, FailureCode::Unauthenticated);
             assert_eq!(answer.status, TransactionStatus::Idle, "nothing is left open");
             assert!(caller.next().await.is_none(), "the session ends");
         }
-        other.done("WRITE slot theirs").await;
+        other.execute_ok("WRITE slot theirs").await;
         assert_eq!(world.group.value("slot"), Some("theirs".to_owned()));
     });
 }
@@ -156,13 +159,13 @@
         let proxy = served_by(&world, with_customers(2, 60, &TWO)).await;
         let idle = open(&proxy, LATEST, "key-a").await;
         let busy = open(&proxy, LATEST, "key-a").await;
-        idle.done("READ slot").await;
-        busy.done("BEGIN").await;
-        busy.done("WRITE slot mine").await;
+        idle.execute_ok("READ slot").await;
+        busy.execute_ok("BEGIN").await;
+        busy.execute_ok("WRITE slot mine").await;
         proxy.directory.apply_catalogue(with_customers(3, 60, &[("key-a", "barn", NO_LIMIT)]));
-        idle.done("READ slot").await;
-        assert_eq!(world.group.ran().last().unwrap().customer, Some("barn".into()));
-        assert_eq!(busy.refused("COMMIT").await, FailureCode::Unauthenticated);
+        idle.execute_ok("READ slot").await;
+        assert_eq!(world.group.executed().last().unwrap().customer, Some("barn".into()));
+        assert_eq!(busy.execute_err("COMMIT").await, FailureCode::Unauthenticated);
         assert_eq!(world.group.value("slot"), None);
     });
 }
@@ -174,14 +177,14 @@
         let world = World::new();
         let catalogue = || with_customers(2, FEW_CONNECTIONS, &TWO);
         let proxies: Vec<Rc<Proxy>> =
-            (1..=8).map(|it| world.instance_with(it, catalogue())).collect();
+            (1..=8).map(|it| world.instance_with_catalogue(it, catalogue())).collect();
         pause(6000).await;
         let no_home = proxies.iter().find(|it| it.groups().is_empty()).unwrap();
         let caller = open(no_home, LATEST, "key-a").await;
-        caller.done("WRITE slot mine").await;
-        assert_eq!(world.group.ran().last().unwrap().customer, Some("abbey".into()));
+        caller.execute_ok("WRITE slot mine").await;
+        assert_eq!(world.group.executed().last().unwrap().customer, Some("abbey".into()));
         no_home.directory.apply_catalogue(with_customers(3, FEW_CONNECTIONS, &TWO[1..]));
-        assert_eq!(caller.refused("WRITE slot late").await, FailureCode::Unauthenticated);
+        assert_eq!(caller.execute_err("WRITE slot late").await, FailureCode::Unauthenticated);
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()));
     });
 }
@@ -200,7 +203,7 @@
         let (mut ran, mut refused) = (0, 0);
         while began.elapsed().as_millis() < 2000 {
             let asked = Instant::now();
-            match caller.say("READ slot").await.result {
+            match caller.execute("READ slot").await.result {
                 Ok(_) => ran += 1,
                 Err(failure) => {
                     assert_eq!(failure.code, FailureCode::Congested);
@@ -213,9 +216,9 @@
         }
         assert!((40..=52).contains(&ran), "{ran} of 20 a second and a burst of 10 ran in 2 s");
         assert!(refused > 0);
-        let reads = world.group.ran().iter().filter(|it| it.text == "READ slot").count();
+        let reads = world.group.executed().iter().filter(|it| it.text == "READ slot").count();
         assert_eq!(reads, ran, "what was refused did not run");
-        other.done("READ slot").await;
+        other.execute_ok("READ slot").await;
     });
 }
 
@@ -229,21 +232,21 @@
         pause(9000).await;
         let caller = open(&proxy, LATEST, "key-a").await;
         for _ in 0..2 {
-            caller.done("BEGIN").await;
+            caller.execute_ok("BEGIN").await;
             for _ in 0..6 {
-                caller.done("READ slot").await;
+                caller.execute_ok("READ slot").await;
             }
-            caller.done("COMMIT").await;
+            caller.execute_ok("COMMIT").await;
         }
         let mut refused = false;
         for _ in 0..4 {
-            caller.done("BEGIN").await;
-            let answer = caller.say("WRITE slot late").await;
+            caller.execute_ok("BEGIN").await;
+            let answer = caller.execute("WRITE slot late").await;
             if answer.result.is_err() {
                 assert_eq!(answer.status, TransactionStatus::Failed);
                 refused = true;
             }
-            caller.done("ROLLBACK").await;
+            caller.execute_ok("ROLLBACK").await;
         }
         assert!(refused, "of six transactions four may run at once");
     });
@@ -256,14 +259,14 @@
         let world = World::new();
         let holders = [("key-a", "abbey", limit(40, 10))];
         let proxies = four(&world, &holders).await;
-        let before = world.group.ran().len();
+        let before = world.group.executed().len();
         let mut asking = Vec::new();
         for proxy in &proxies {
             let caller = open(proxy, LATEST, "key-a").await;
             asking.push(compio::runtime::spawn(async move {
                 let began = Instant::now();
                 while began.elapsed().as_millis() < 3000 {
-                    if caller.say("READ slot").await.result.is_err() {
+                    if caller.execute("READ slot").await.result.is_err() {
                         pause(10).await;
                     }
                 }
@@ -272,7 +275,7 @@
         for task in asking {
             let _ = task.await;
         }
-        let ran = world.group.ran().len() - before;
+        let ran = world.group.executed().len() - before;
         assert!((110..=150).contains(&ran), "{ran} of 40 a second and a burst of 10 ran in 3 s");
     });
 }
@@ -286,15 +289,15 @@
         let proxies = four(&world, &holders).await;
         let caller = open(&proxies[0], BOUNDED, "key-a").await;
         for _ in 0..40 {
-            caller.done("READ slot").await;
+            caller.execute_ok("READ slot").await;
             pause(20).await;
         }
-        (2..=4).for_each(|it| world.network.cut(it));
+        (2..=4).for_each(|it| world.network.partition(it));
         let (mut served, mut refused, mut slow) = (0, 0, 0);
         let began = Instant::now();
         while began.elapsed().as_millis() < 900 {
             let asked = Instant::now();
-            match caller.say("READ slot").await.result {
+            match caller.execute("READ slot").await.result {
                 Ok(_) => served += 1,
                 Err(_) => refused += 1,
             }
--- a/crates/gullspar_direct/tests/cut_off_data_centre.rs
+++ b/crates/gullspar_direct/tests/cut_off_data_centre.rs
@@ -9,7 +9,7 @@
 
 use gullspar_direct::{Member, Proxy, serve_caller};
 use gullspar_statement::FailureCode;
-use support::{FakeCaller, Fault, LATEST, World, pause, run, until};
+use support::{FakeCaller, Fault, LATEST, World, pause, run, wait_until};
 
 /// More instances than are each told of all others, so that most are home of nothing.
 const FLEET: u16 = 15;
@@ -41,7 +41,7 @@
         |number| Member { data_centre: place(number).as_str().into(), ..support::member(number) };
     let members: Vec<Member> = (1..=FLEET).map(member).collect();
     let proxies = world.fleet(&members, CONNECTIONS);
-    until(4000, "all are ready", || proxies.iter().all(|it| it.is_ready())).await;
+    wait_until(4000, "all are ready", || proxies.iter().all(|it| it.is_ready())).await;
     // Instances expected from the registry count for three seconds.
     pause(3000).await;
     proxies
@@ -54,10 +54,10 @@
 /// Cuts the instances `behind` off from all others; all targets are on the other side if `targets` are.
 fn cut(world: &World, behind: &[u16], targets: bool) {
     let others: Vec<u16> = (1..=FLEET).filter(|it| !behind.contains(it)).collect();
-    world.network.cut_between(behind, &others);
+    world.network.partition_between(behind, &others);
     let dark_to = if targets { behind.to_vec() } else { others };
     for member in 0..3 {
-        dark_to.iter().for_each(|it| world.group.set(member, Fault::DarkTo(*it)));
+        dark_to.iter().for_each(|it| world.group.inject_fault(member, Fault::UnresponsiveTo(*it)));
     }
 }
 
@@ -66,7 +66,7 @@
     let (caller, link) = FakeCaller::new();
     compio::runtime::spawn(serve_caller(Rc::clone(proxy), Box::new(link))).detach();
     let asked = Instant::now();
-    let code = caller.opening_refused(LATEST).await;
+    let code = caller.open_err(LATEST).await;
     (code, asked.elapsed())
 }
 
@@ -85,7 +85,7 @@
         assert!(without > 0 && without < behind.len(), "{without} of {}", behind.len());
         cut(&world, &behind, true);
         let all_out = || behind.iter().all(|it| !at(&proxies, *it).is_ready());
-        until(OUT_WITHIN, "all behind the cut are out of rotation", all_out).await;
+        wait_until(OUT_WITHIN, "all behind the cut are out of rotation", all_out).await;
         for number in &behind {
             let (code, taken) = refused(at(&proxies, *number)).await;
             assert_eq!(code, FailureCode::Congested);
@@ -95,10 +95,10 @@
         assert!(others.clone().all(|it| at(&proxies, it).is_ready()), "the others serve on");
 
         world.network.heal();
-        (0..3).for_each(|it| world.group.mend(it));
-        until(3000, "all are ready again", || proxies.iter().all(|it| it.is_ready())).await;
+        (0..3).for_each(|it| world.group.clear_faults(it));
+        wait_until(3000, "all are ready again", || proxies.iter().all(|it| it.is_ready())).await;
         for number in &behind {
-            world.caller(at(&proxies, *number), LATEST).await.done("WRITE slot mine").await;
+            world.caller(at(&proxies, *number), LATEST).await.execute_ok("WRITE slot mine").await;
         }
     });
 }
--- a/crates/gullspar_direct/tests/detour.rs
+++ b/crates/gullspar_direct/tests/detour.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use support::{Fault, LATEST, World, pause, run, until};
+use support::{Fault, LATEST, World, pause, run, wait_until};
 
 /// Time in which an instance notices that it alone lacks a leader: two checks of 200 ms, and 600 ms in which it
 /// may be everybody's trouble.
@@ -20,20 +20,20 @@
         let world = World::new();
         let proxies = world.instances(4).await;
         let open = world.caller(&proxies[3], LATEST).await;
-        open.done("WRITE slot before").await;
-        world.group.set(0, Fault::DarkTo(4));
+        open.execute_ok("WRITE slot before").await;
+        world.group.inject_fault(0, Fault::UnresponsiveTo(4));
         assert_eq!(open.next().await, None, "its idle session is closed, to open anew");
         let caller = world.caller(&proxies[3], LATEST).await;
-        caller.done("WRITE slot mine").await;
-        assert_eq!(caller.done("READ slot").await, ["mine"]);
+        caller.execute_ok("WRITE slot mine").await;
+        assert_eq!(caller.execute_ok("READ slot").await, ["mine"]);
         assert_eq!(world.promoter.orders(), []);
 
-        world.group.mend(0);
+        world.group.clear_faults(0);
         pause(NOTICED_WITHIN).await;
         let elsewhere = || proxies[..3].iter().map(|it| it.shutdown.sessions()).sum::<usize>();
         let before = elsewhere();
         let again = world.caller(&proxies[3], LATEST).await;
-        again.done("WRITE slot again").await;
+        again.execute_ok("WRITE slot again").await;
         assert_eq!(elsewhere(), before, "it is served here again");
     });
 }
@@ -45,12 +45,12 @@
         let world = World::new();
         let proxies = world.instances(3).await;
         let caller = world.caller(&proxies[0], LATEST).await;
-        world.group.set(0, Fault::Dark);
-        until(NOTICED_WITHIN * 2, "another member leads", || {
+        world.group.inject_fault(0, Fault::Unresponsive);
+        wait_until(NOTICED_WITHIN * 2, "another member leads", || {
             world.group.leader() != Some("m0".into())
         })
         .await;
-        caller.done("WRITE slot mine").await;
+        caller.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -64,13 +64,13 @@
     run(async {
         let world = World::new();
         let _proxies = world.instances(3).await;
-        (0..3).for_each(|it| world.group.set(it, Fault::FullTo(4)));
+        (0..3).for_each(|it| world.group.inject_fault(it, Fault::RefusesConnectionsFrom(4)));
         let late = world.instance(4);
         // It hears the others within two heartbeats.
         pause(450).await;
         let caller = world.caller(&late, LATEST).await;
         let asked = std::time::Instant::now();
-        caller.done("WRITE slot mine").await;
+        caller.execute_ok("WRITE slot mine").await;
         assert!(asked.elapsed().as_millis() < 100, "served after {:?}", asked.elapsed());
     });
 }
--- a/crates/gullspar_direct/tests/failover.rs
+++ b/crates/gullspar_direct/tests/failover.rs
@@ -7,7 +7,9 @@
 use gullspar_direct::Claim;
 use gullspar_model::Term;
 use gullspar_statement::FailureCode;
-use support::{BOUNDED, Fault, LATEST, REPLACED_WITHIN, World, leader_of, pause, run, until};
+use support::{
+    BOUNDED, FAILOVER_TIMEOUT_MS, Fault, LATEST, World, leader_of, pause, run, wait_until,
+};
 
 /// Symptom: writes stop for good when a leader fails.
 #[test]
@@ -15,13 +17,13 @@
     run(async {
         let world = World::new();
         let proxies = world.instances(3).await;
-        world.group.set(0, Fault::Dark);
-        world.succeeded("m0", REPLACED_WITHIN).await;
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         let leader = world.group.leader();
         for proxy in &proxies {
-            until(1000, "all follow", || leader_of(proxy) == leader).await;
+            wait_until(1000, "all follow", || leader_of(proxy) == leader).await;
         }
-        world.caller(&proxies[0], LATEST).await.done("WRITE slot mine").await;
+        world.caller(&proxies[0], LATEST).await.execute_ok("WRITE slot mine").await;
         pause(1500).await;
         assert_eq!(world.promoter.orders().len(), 1, "{:?}", world.promoter.orders());
         assert_eq!(world.group.leader(), leader);
@@ -36,14 +38,14 @@
     run(async {
         let world = World::new();
         let proxies = world.instances(3).await;
-        world.group.set(0, Fault::DarkTo(2));
+        world.group.inject_fault(0, Fault::UnresponsiveTo(2));
         pause(2500).await;
         assert_eq!(world.promoter.orders(), []);
         // That instance's callers are served all the same, through another one, and at once.
         let started = std::time::Instant::now();
-        world.caller(&proxies[1], LATEST).await.done("WRITE slot mine").await;
+        world.caller(&proxies[1], LATEST).await.execute_ok("WRITE slot mine").await;
         assert!(started.elapsed().as_millis() < 200, "took {:?}", started.elapsed());
-        world.caller(&proxies[0], LATEST).await.done("WRITE slot mine").await;
+        world.caller(&proxies[0], LATEST).await.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -54,9 +56,9 @@
         let world = World::new();
         let proxies = world.instances(3).await;
         let idle = world.caller(&proxies[2], BOUNDED).await;
-        world.network.cut(3);
-        world.group.set(0, Fault::DarkTo(3));
-        until(3000, "the instance is not ready", || !proxies[2].is_ready()).await;
+        world.network.partition(3);
+        world.group.inject_fault(0, Fault::UnresponsiveTo(3));
+        wait_until(3000, "the instance is not ready", || !proxies[2].is_ready()).await;
         pause(1000).await;
         assert_eq!(world.promoter.orders(), []);
         assert!(proxies[0].is_ready() && proxies[1].is_ready());
@@ -66,8 +68,8 @@
             "its idle sessions are closed once it is out of rotation"
         );
         world.network.heal();
-        world.group.mend(0);
-        until(2000, "it is ready again", || proxies[2].is_ready()).await;
+        world.group.clear_faults(0);
+        wait_until(2000, "it is ready again", || proxies[2].is_ready()).await;
     });
 }
 
@@ -79,11 +81,11 @@
     run(async {
         let world = World::new();
         let proxies = world.instances(3).await;
-        world.network.cut(2);
-        world.network.cut(3);
+        world.network.partition(2);
+        world.network.partition(3);
         pause(1500).await;
         assert!(proxies[0].is_ready());
-        world.caller(&proxies[0], LATEST).await.done("WRITE slot mine").await;
+        world.caller(&proxies[0], LATEST).await.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -103,15 +105,15 @@
             nonce: "made by another".to_owned(),
             over_term: Term(1),
         });
-        world.group.set(0, Fault::Deaf);
-        world.group.set(1, Fault::Dark);
-        world.group.set(2, Fault::Dark);
+        world.group.inject_fault(0, Fault::ReplicationStopped);
+        world.group.inject_fault(1, Fault::Unresponsive);
+        world.group.inject_fault(2, Fault::Unresponsive);
         world.group.promote(&"m1".into());
         world.group.commit(&[("slot".to_owned(), "taken".to_owned())]);
         pause(3000).await;
         assert_eq!(world.promoter.orders(), [], "only the superseded leader is in reach");
-        world.group.mend(2);
-        until(4000, "a member of the present term leads", || {
+        world.group.clear_faults(2);
+        wait_until(4000, "a member of the present term leads", || {
             world.promoter.orders().iter().any(|it| it.member == "m2".into())
         })
         .await;
@@ -124,9 +126,9 @@
     run(async {
         let world = World::new();
         let proxies = world.instances(5).await;
-        world.network.cut_between(&[1, 2], &[3, 4, 5]);
-        world.group.set(0, Fault::DarkTo(4));
-        world.group.set(0, Fault::DarkTo(5));
+        world.network.partition_between(&[1, 2], &[3, 4, 5]);
+        world.group.inject_fault(0, Fault::UnresponsiveTo(4));
+        world.group.inject_fault(0, Fault::UnresponsiveTo(5));
         pause(2500).await;
         assert!(proxies[3].is_ready() || proxies[0].is_ready());
         let minority = ["instance-1".into(), "instance-2".into()];
@@ -145,22 +147,22 @@
 fn behind_a_cut_no_write_is_confirmed_by_the_leader_alone() {
     run(async {
         let world = World::new();
-        world.promoter.takes_ms.set(600);
+        world.promoter.duration_ms.set(600);
         let proxies = world.instances(3).await;
         let caller = world.caller(&proxies[0], LATEST).await;
-        caller.done("WRITE before cut").await;
-        world.network.cut(1);
-        world.group.set(0, Fault::DarkTo(2));
-        world.group.set(0, Fault::DarkTo(3));
+        caller.execute_ok("WRITE before cut").await;
+        world.network.partition(1);
+        world.group.inject_fault(0, Fault::UnresponsiveTo(2));
+        world.group.inject_fault(0, Fault::UnresponsiveTo(3));
         // Each side keeps its log as it is.
-        (0..3).for_each(|it| world.group.set(it, Fault::Deaf));
-        [1, 2].into_iter().for_each(|it| world.group.set(it, Fault::DarkTo(1)));
+        (0..3).for_each(|it| world.group.inject_fault(it, Fault::ReplicationStopped));
+        [1, 2].into_iter().for_each(|it| world.group.inject_fault(it, Fault::UnresponsiveTo(1)));
         let mut sent_after_the_order = 0;
         let mut confirmed = Vec::new();
         for number in 0..200 {
             let ordered = !world.promoter.orders().is_empty();
             let caller = world.caller(&proxies[0], LATEST).await;
-            let answer = caller.say(&format!("WRITE slot-{number} mine")).await;
+            let answer = caller.execute(&format!("WRITE slot-{number} mine")).await;
             sent_after_the_order += u32::from(ordered);
             assert!(!ordered || answer.result.is_err(), "write {number} was confirmed");
             if answer.result.is_ok() {
@@ -188,17 +190,17 @@
         let world = World::new();
         let proxies = world.instances(2).await;
         let caller = world.caller(&proxies[0], LATEST).await;
-        caller.done("WRITE before cut").await;
+        caller.execute_ok("WRITE before cut").await;
         let other = world.caller(&proxies[0], LATEST).await;
-        world.network.cut(1);
-        (0..3).for_each(|it| world.group.set(it, Fault::Deaf));
-        [1, 2].into_iter().for_each(|it| world.group.set(it, Fault::DarkTo(1)));
-        caller.begin_to_say("WRITE slot mine");
+        world.network.partition(1);
+        (0..3).for_each(|it| world.group.inject_fault(it, Fault::ReplicationStopped));
+        [1, 2].into_iter().for_each(|it| world.group.inject_fault(it, Fault::UnresponsiveTo(1)));
+        caller.send_statement("WRITE slot mine");
         pause(300).await;
         assert!(!caller.has_answer(), "it waits for a replica");
         world.group.promote(&"m1".into());
         // The old leader says so to whoever asks first.
-        other.begin_to_say("READ slot");
+        other.send_statement("READ slot");
         let answer = caller.next().await.unwrap();
         assert_eq!(answer.result.unwrap_err().code, FailureCode::Unknown);
         assert_eq!(world.group.value("slot"), None);
--- a/crates/gullspar_direct/tests/homes.rs
+++ b/crates/gullspar_direct/tests/homes.rs
@@ -9,7 +9,7 @@
 use gullspar_direct::{Catalogue, Member, Phase, Proxy, serve_caller};
 use gullspar_model::ServiceName;
 use gullspar_statement::FailureCode;
-use support::{BOUNDED, FakeCaller, LATEST, World, pause, run, until};
+use support::{BOUNDED, FakeCaller, LATEST, World, pause, run, wait_until};
 
 /// Connections to each target that the configuration allows in these tests.
 const CONNECTIONS: u32 = 10;
@@ -27,7 +27,7 @@
 async fn many(world: &World) -> Vec<Rc<Proxy>> {
     let proxies: Vec<Rc<Proxy>> = (1..=INSTANCES).map(|it| world.instance(it)).collect();
     for proxy in &proxies {
-        proxy.directory.apply_catalogue(support::with_connections(2, CONNECTIONS));
+        proxy.directory.apply_catalogue(support::catalogue_with_connections(2, CONNECTIONS));
     }
     pause(6000).await;
     proxies
@@ -58,13 +58,13 @@
         assert!(!homes.is_empty() && homes.len() < proxies.len(), "{} homes", homes.len());
         for (at, proxy) in proxies.iter().enumerate() {
             let caller = world.caller(proxy, LATEST).await;
-            caller.done(&format!("WRITE item{at} x")).await;
-            caller.done("BEGIN").await;
-            assert_eq!(caller.done(&format!("READ item{at}")).await, ["x"]);
-            caller.done("COMMIT").await;
-            caller.done("SET zone east").await;
-            caller.done("PREPARE s READ q").await;
-            caller.done("EXECUTE s a").await;
+            caller.execute_ok(&format!("WRITE item{at} x")).await;
+            caller.execute_ok("BEGIN").await;
+            assert_eq!(caller.execute_ok(&format!("READ item{at}")).await, ["x"]);
+            caller.execute_ok("COMMIT").await;
+            caller.execute_ok("SET zone east").await;
+            caller.execute_ok("PREPARE s READ q").await;
+            caller.execute_ok("EXECUTE s a").await;
         }
         for member in 0..3 {
             let open = world.group.connections(member);
@@ -83,17 +83,19 @@
         let proxies = many(&world).await;
         let homes = homes(&proxies);
         let other = no_home(&proxies);
-        world.group.work_ms.set(150);
+        world.group.statement_duration_ms.set(150);
         let busy = world.caller(other, LATEST).await;
         let idle = world.caller(other, BOUNDED).await;
-        busy.begin_to_say("WRITE slot mine");
+        busy.send_statement("WRITE slot mine");
         pause(30).await;
         homes.iter().for_each(|it| it.shutdown.enter(Phase::ClosingIdle));
         assert!(busy.next().await.unwrap().result.is_ok());
         assert_eq!(busy.next().await, None, "then the session is closed");
         assert_eq!(idle.next().await, None);
-        until(1000, "no session is left", || homes.iter().all(|it| it.shutdown.sessions() == 0))
-            .await;
+        wait_until(1000, "no session is left", || {
+            homes.iter().all(|it| it.shutdown.sessions() == 0)
+        })
+        .await;
     });
 }
 
@@ -104,11 +106,11 @@
         let world = World::new();
         let proxies = many(&world).await;
         let other = no_home(&proxies);
-        world.group.work_ms.set(300);
+        world.group.statement_duration_ms.set(300);
         let caller = world.caller(other, LATEST).await;
-        caller.begin_to_say("WRITE slot mine");
+        caller.send_statement("WRITE slot mine");
         pause(50).await;
-        world.network.break_sessions();
+        world.network.drop_sessions();
         let answer = caller.next().await.unwrap();
         assert_eq!(answer.result.unwrap_err().code, FailureCode::Unknown);
         assert_eq!(caller.next().await, None);
@@ -127,7 +129,7 @@
         pause(100).await;
         let homes = homes(&proxies);
         assert!(!homes.is_empty() && homes.len() < proxies.len(), "{} homes", homes.len());
-        assert_eq!(world.registry.entered.get(), 0, "nothing changed, so nothing is written");
+        assert_eq!(world.registry.registrations.get(), 0, "nothing changed, so nothing is written");
     });
 }
 
@@ -136,12 +138,12 @@
 fn a_silent_registry_holds_no_start_up_for_long() {
     run(async {
         let world = World::new();
-        world.registry.silent.set(true);
+        world.registry.unresponsive.set(true);
         let proxy = world.instance(1);
         let caller = world.caller(&proxy, LATEST).await;
-        until(1500, "it is ready", || proxy.is_ready()).await;
-        world.settle(&proxy).await;
-        caller.done("WRITE slot x").await;
+        wait_until(1500, "it is ready", || proxy.is_ready()).await;
+        world.wait_for_leader(&proxy).await;
+        caller.execute_ok("WRITE slot x").await;
     });
 }
 
@@ -151,13 +153,14 @@
     run(async {
         let world = World::new();
         for number in 2..=INSTANCES {
-            world.registry.keep(support::member(number));
+            world.registry.insert(support::member(number));
         }
-        let proxy = world.instance_with(1, support::with_connections(2, CONNECTIONS));
-        until(4000, "it serves alone", || !proxy.groups().is_empty()).await;
-        world.settle(&proxy).await;
+        let proxy =
+            world.instance_with_catalogue(1, support::catalogue_with_connections(2, CONNECTIONS));
+        wait_until(4000, "it serves alone", || !proxy.groups().is_empty()).await;
+        world.wait_for_leader(&proxy).await;
         let caller = world.caller(&proxy, LATEST).await;
-        caller.done("WRITE slot x").await;
+        caller.execute_ok("WRITE slot x").await;
     });
 }
 
@@ -205,13 +208,13 @@
         let proxies = many(&world).await;
         let at = proxies.iter().position(|it| !it.groups().is_empty()).unwrap();
         let other = no_home(&proxies);
-        world.network.cut(at as u16 + 1);
+        world.network.partition(at as u16 + 1);
         let caller = world.caller(other, LATEST).await;
-        until(1000, "a stand-in serves", || homes(&proxies).len() == 2).await;
+        wait_until(1000, "a stand-in serves", || homes(&proxies).len() == 2).await;
         let stand_in =
             proxies.iter().enumerate().find(|(it, proxy)| *it != at && !proxy.groups().is_empty());
-        world.settle(stand_in.unwrap().1).await;
-        caller.done("WRITE slot mine").await;
+        world.wait_for_leader(stand_in.unwrap().1).await;
+        caller.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -225,14 +228,14 @@
         let proxy = world.instance_without_configuration(1);
         pause(200).await;
         assert!(proxy.groups().is_empty() && world.group.connections(0) == 0);
-        proxy.directory.apply_catalogue(support::with_connections(2, CONNECTIONS));
-        until(1000, "it serves", || !proxy.groups().is_empty()).await;
+        proxy.directory.apply_catalogue(support::catalogue_with_connections(2, CONNECTIONS));
+        wait_until(1000, "it serves", || !proxy.groups().is_empty()).await;
     });
 }
 
 /// A configuration that adds `ADDED` to the one that all go by.
 fn with_added_service(version: u64) -> Catalogue {
-    let mut catalogue = support::with_connections(version, CONNECTIONS);
+    let mut catalogue = support::catalogue_with_connections(version, CONNECTIONS);
     let route = catalogue.routes[&ServiceName::new(LATEST)].clone();
     catalogue.routes.insert(ServiceName::new(ADDED), route);
     catalogue
@@ -252,7 +255,7 @@
         let entry = no_home(&proxies);
         entry.directory.apply_catalogue(with_added_service(3));
         // The home hears of it within a heartbeat and a fetch.
-        world.caller(entry, ADDED).await.done("WRITE slot mine").await;
+        world.caller(entry, ADDED).await.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -265,12 +268,12 @@
         let entry = proxies.iter().position(|it| it.groups().is_empty()).unwrap();
         let numbers = 1..=INSTANCES;
         for from in numbers.clone().filter(|it| *it as usize != entry + 1) {
-            numbers.clone().for_each(|to| world.network.cut_one_way(from, to));
+            numbers.clone().for_each(|to| world.network.block_one_way(from, to));
         }
         proxies[entry].directory.apply_catalogue(with_added_service(3));
         let (caller, link) = FakeCaller::new();
         let served = serve_caller(Rc::clone(&proxies[entry]), Box::new(link));
         compio::runtime::spawn(served).detach();
-        assert_eq!(caller.opening_refused(ADDED).await, FailureCode::Congested);
+        assert_eq!(caller.open_err(ADDED).await, FailureCode::Congested);
     });
 }
--- a/crates/gullspar_direct/tests/knowledge.rs
+++ b/crates/gullspar_direct/tests/knowledge.rs
@@ -11,7 +11,7 @@
 };
 use gullspar_model::{InstanceId, LogPoint, Revision};
 use gullspar_statement::TargetSpec;
-use support::{FakeGroup, GROUP, World, catalogue, pause, run, until};
+use support::{FakeGroup, GROUP, World, catalogue, pause, run, wait_until};
 use test_case::test_case;
 
 fn at(ms: u64) -> BootInstant {
@@ -211,11 +211,11 @@
         let one = world.instance(1);
         let other = world.instance(2);
         one.directory.apply_catalogue(catalogue(7));
-        until(1500, "the configuration is there", || other.directory.version() == 7).await;
+        wait_until(1500, "the configuration is there", || other.directory.version() == 7).await;
         one.record_store_answer();
-        world.group.leaves(1);
-        world.list_targets(&one, 9);
-        until(1500, "the targets are there", || {
+        world.group.mark_leaving(1);
+        world.apply_target_list(&one, 9);
+        wait_until(1500, "the targets are there", || {
             other.directory.target_revision() == Revision::new(0, 9)
         })
         .await;
@@ -232,7 +232,7 @@
         let other = world.instance(2);
         one.record_store_answer();
         other.record_store_answer();
-        world.list_targets(&one, 9);
+        world.apply_target_list(&one, 9);
         pause(800).await;
         assert_eq!(other.directory.target_revision(), Revision::new(0, 1));
     });
@@ -250,7 +250,7 @@
         let known = |of: &std::rc::Rc<gullspar_direct::Proxy>| {
             of.peers.members(world.clock.boot_now()).len()
         };
-        until(4000, "they know each other", || known(&lost) == 1 && known(&one) == 1).await;
+        wait_until(4000, "they know each other", || known(&lost) == 1 && known(&one) == 1).await;
     });
 }
 
--- a/crates/gullspar_direct/tests/leaving.rs
+++ b/crates/gullspar_direct/tests/leaving.rs
@@ -5,7 +5,9 @@
 mod support;
 
 use gullspar_statement::FailureCode;
-use support::{Fault, LATEST, LEAVING_SERVES, REPLACED_WITHIN, World, pause, run, until};
+use support::{
+    FAILOVER_TIMEOUT_MS, Fault, LATEST, LEAVING_TARGET_TIMEOUT, World, pause, run, wait_until,
+};
 
 /// Symptom: a release of the leader loses confirmed bookings.
 /// Events: the leader says that it leaves; its successor has not received the last commits.
@@ -15,16 +17,16 @@
     run(async {
         let world = World::new();
         let proxies = world.instances(2).await;
-        world.group.set(1, Fault::Deaf);
-        world.group.set(2, Fault::Deaf);
-        world.caller(&proxies[0], LATEST).await.done("WRITE slot mine").await;
+        world.group.inject_fault(1, Fault::ReplicationStopped);
+        world.group.inject_fault(2, Fault::ReplicationStopped);
+        world.caller(&proxies[0], LATEST).await.execute_ok("WRITE slot mine").await;
         pause(300).await;
-        world.group.leaves(0);
-        proxies.iter().for_each(|it| world.list_targets(it, 2));
+        world.group.mark_leaving(0);
+        proxies.iter().for_each(|it| world.apply_target_list(it, 2));
         pause(1000).await;
         assert_eq!(world.promoter.orders(), [], "nobody has the last commit yet");
-        world.group.mend(2);
-        until(3000, "the one that has it leads", || world.group.leader() == Some("m2".into()))
+        world.group.clear_faults(2);
+        wait_until(3000, "the one that has it leads", || world.group.leader() == Some("m2".into()))
             .await;
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()));
     });
@@ -38,23 +40,23 @@
     run(async {
         let world = World::new();
         let proxies = world.instances(2).await;
-        [1, 2].into_iter().for_each(|it| world.group.set(it, Fault::Dark));
+        [1, 2].into_iter().for_each(|it| world.group.inject_fault(it, Fault::Unresponsive));
         pause(1000).await;
-        world.group.leaves(0);
-        proxies.iter().for_each(|it| world.list_targets(it, 2));
+        world.group.mark_leaving(0);
+        proxies.iter().for_each(|it| world.apply_target_list(it, 2));
         let caller = world.caller(&proxies[0], LATEST).await;
-        caller.done("WRITE slot mine").await;
-        pause(LEAVING_SERVES.as_millis() as u64).await;
+        caller.execute_ok("WRITE slot mine").await;
+        pause(LEAVING_TARGET_TIMEOUT.as_millis() as u64).await;
         let asked = std::time::Instant::now();
-        assert_eq!(caller.refused("WRITE slot again").await, FailureCode::Congested);
-        assert_eq!(caller.refused("READ slot").await, FailureCode::Congested);
-        caller.done("BEGIN").await;
-        assert_eq!(caller.refused("READ slot").await, FailureCode::Congested);
+        assert_eq!(caller.execute_err("WRITE slot again").await, FailureCode::Congested);
+        assert_eq!(caller.execute_err("READ slot").await, FailureCode::Congested);
+        caller.execute_ok("BEGIN").await;
+        assert_eq!(caller.execute_err("READ slot").await, FailureCode::Congested);
         assert!(asked.elapsed().as_millis() < 300, "refused at once, not {:?}", asked.elapsed());
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()));
-        [1, 2].into_iter().for_each(|it| world.group.mend(it));
-        world.succeeded("m0", REPLACED_WITHIN).await;
-        world.caller(&proxies[1], LATEST).await.done("WRITE slot later").await;
+        [1, 2].into_iter().for_each(|it| world.group.clear_faults(it));
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
+        world.caller(&proxies[1], LATEST).await.execute_ok("WRITE slot later").await;
     });
 }
 
@@ -64,16 +66,16 @@
     run(async {
         let world = World::new();
         let proxy = world.instance(1);
-        world.settle(&proxy).await;
-        [1, 2].into_iter().for_each(|it| world.group.set(it, Fault::Dark));
-        world.group.leaves(0);
-        world.list_targets(&proxy, 2);
-        pause(LEAVING_SERVES.as_millis() as u64 + 500).await;
+        world.wait_for_leader(&proxy).await;
+        [1, 2].into_iter().for_each(|it| world.group.inject_fault(it, Fault::Unresponsive));
+        world.group.mark_leaving(0);
+        world.apply_target_list(&proxy, 2);
+        pause(LEAVING_TARGET_TIMEOUT.as_millis() as u64 + 500).await;
         let caller = world.caller(&proxy, LATEST).await;
-        assert_eq!(caller.refused("WRITE slot mine").await, FailureCode::Congested);
-        world.group.stays(0);
-        world.list_targets(&proxy, 3);
+        assert_eq!(caller.execute_err("WRITE slot mine").await, FailureCode::Congested);
+        world.group.cancel_leaving(0);
+        world.apply_target_list(&proxy, 3);
         pause(100).await;
-        caller.done("WRITE slot mine").await;
+        caller.execute_ok("WRITE slot mine").await;
     });
 }
--- a/crates/gullspar_direct/tests/news.rs
+++ b/crates/gullspar_direct/tests/news.rs
@@ -9,7 +9,7 @@
 
 use gullspar_direct::Proxy;
 use gullspar_model::Revision;
-use support::{World, catalogue, pause, run, until};
+use support::{World, catalogue, pause, run, wait_until};
 
 /// More instances than all follow the store.
 const MANY: u16 = 18;
@@ -24,7 +24,7 @@
 async fn all_know_each_other(world: &World, proxies: &[Rc<Proxy>]) {
     let knows_all =
         |it: &Rc<Proxy>| it.peers.members(world.clock.boot_now()).len() == proxies.len();
-    until(HEARD_WITHIN, "all know each other", || proxies.iter().all(knows_all)).await;
+    wait_until(HEARD_WITHIN, "all know each other", || proxies.iter().all(knows_all)).await;
 }
 
 /// Symptom: after the platform's store was silent, one instance in five of a large fleet refuses callers of 23
@@ -46,10 +46,10 @@
         proxies.iter().for_each(|it| it.record_store_answer());
         let follower = proxies.iter().find(|it| it.should_follow_store()).unwrap();
         let other = proxies.iter().find(|it| !it.should_follow_store()).unwrap();
-        world.list_targets(other, 5);
-        world.list_targets(follower, 9);
+        world.apply_target_list(other, 5);
+        world.apply_target_list(follower, 9);
         let told = || other.directory.target_revision() == Revision::new(0, 9);
-        until(TOLD_WITHIN, "it has the followers' list", told).await;
+        wait_until(TOLD_WITHIN, "it has the followers' list", told).await;
     });
 }
 
@@ -62,13 +62,13 @@
         let world = World::new();
         let proxies: Vec<Rc<Proxy>> = (1..=4).map(|it| world.instance(it)).collect();
         pause(TOLD_WITHIN).await;
-        world.network.cut_one_way(4, 1);
-        world.network.cut_one_way(4, 2);
+        world.network.block_one_way(4, 1);
+        world.network.block_one_way(4, 2);
         [0, 1, 2].into_iter().for_each(|it| {
             proxies[it].directory.apply_catalogue(catalogue(7));
         });
         let told = || proxies[3].directory.version() == 7;
-        until(TOLD_WITHIN, "the configuration is there", told).await;
+        wait_until(TOLD_WITHIN, "the configuration is there", told).await;
     });
 }
 
--- a/crates/gullspar_direct/tests/placing.rs
+++ b/crates/gullspar_direct/tests/placing.rs
@@ -8,7 +8,7 @@
 
 use futures::future;
 use gullspar_statement::FailureCode;
-use support::{BOUNDED, Fault, run, settled};
+use support::{BOUNDED, Fault, run, world_with_instance};
 use test_case::test_case;
 
 /// How long replicas are read from again after they were slow: four halvings of what was learnt, and some for
@@ -21,16 +21,16 @@
 #[test]
 fn replicas_that_were_slow_are_read_from_again() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, BOUNDED).await;
-        world.slow_replicas(&caller).await;
+        world.slow_down_replicas(&caller).await;
         for member in [1, 2] {
-            world.group.mend(member);
+            world.group.clear_faults(member);
         }
         let mended = Instant::now();
-        while world.is_read_from_leader() {
+        while world.is_last_statement_on_leader() {
             assert!(mended.elapsed() < FORGIVEN_WITHIN, "replicas are not read from again");
-            caller.done("READ slot").await;
+            caller.execute_ok("READ slot").await;
         }
     });
 }
@@ -41,12 +41,12 @@
 #[test]
 fn a_burst_is_spread_over_the_replicas() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.work_ms.set(50);
+        let (world, proxy) = world_with_instance().await;
+        world.group.statement_duration_ms.set(50);
         let callers = future::join_all((0..32).map(|_| world.caller(&proxy, BOUNDED))).await;
-        let before = world.group.ran().len();
-        future::join_all(callers.iter().map(|it| it.done("READ slot"))).await;
-        let ran = world.group.ran();
+        let before = world.group.executed().len();
+        future::join_all(callers.iter().map(|it| it.execute_ok("READ slot"))).await;
+        let ran = world.group.executed();
         let busiest = ["m0", "m1", "m2"]
             .map(|name| ran[before..].iter().filter(|it| it.member.as_str() == name).count());
         assert!(busiest.iter().all(|it| *it <= 18), "{busiest:?}");
@@ -59,33 +59,34 @@
 /// Events: the replica answers all checks, and fails each statement.
 /// Cause: only targets that broke off or refused were passed over; and a transaction that only reads was not begun
 /// anew elsewhere.
-#[test_case(Fault::Fails; "all of them")]
-#[test_case(Fault::FailsHalf; "every other one")]
+#[test_case(Fault::FailsStatements; "all of them")]
+#[test_case(Fault::FailsEverySecond; "every other one")]
 fn a_target_that_fails_statements_is_passed_over(fault: Fault) {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, BOUNDED).await;
         for _ in 0..20 {
-            caller.done("READ slot").await;
+            caller.execute_ok("READ slot").await;
         }
-        world.group.set(1, fault);
+        world.group.inject_fault(1, fault);
         let started = Instant::now();
         while started.elapsed() < Duration::from_secs(2) {
-            caller.done("READ slot").await;
-            caller.done("BEGIN READ").await;
-            caller.done("READ slot").await;
-            caller.done("COMMIT").await;
+            caller.execute_ok("READ slot").await;
+            caller.execute_ok("BEGIN READ").await;
+            caller.execute_ok("READ slot").await;
+            caller.execute_ok("COMMIT").await;
         }
-        let failed = world.group.failed.get();
+        let failed = world.group.failed_statements.get();
         assert!((1..=10).contains(&failed), "it failed {failed} statements in two seconds");
-        world.group.mend(1);
+        world.group.clear_faults(1);
         // Of two sound replicas the faster is read from, so that the other one has to go.
-        world.group.set(2, Fault::Fails);
+        world.group.inject_fault(2, Fault::FailsStatements);
         let mended = Instant::now();
-        let on_replica = || world.group.ran().last().is_some_and(|it| it.member.as_str() == "m1");
+        let on_replica =
+            || world.group.executed().last().is_some_and(|it| it.member.as_str() == "m1");
         while !on_replica() {
             assert!(mended.elapsed() < FORGIVEN_WITHIN * 2, "it is read from again");
-            caller.done("READ slot").await;
+            caller.execute_ok("READ slot").await;
         }
     });
 }
@@ -96,14 +97,14 @@
 #[test]
 fn a_reading_transaction_that_fails_wherever_it_runs_is_told_so() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, BOUNDED).await;
-        caller.done("READ slot").await;
-        world.group.set(1, Fault::Fails);
-        world.group.set(0, Fault::Busy);
-        world.group.set(2, Fault::Busy);
-        caller.done("BEGIN READ").await;
-        assert_eq!(caller.refused("READ slot").await, FailureCode::Failed);
-        caller.done("ROLLBACK").await;
+        caller.execute_ok("READ slot").await;
+        world.group.inject_fault(1, Fault::FailsStatements);
+        world.group.inject_fault(0, Fault::Busy);
+        world.group.inject_fault(2, Fault::Busy);
+        caller.execute_ok("BEGIN READ").await;
+        assert_eq!(caller.execute_err("READ slot").await, FailureCode::Failed);
+        caller.execute_ok("ROLLBACK").await;
     });
 }
--- a/crates/gullspar_direct/tests/start_behind_a_cut.rs
+++ b/crates/gullspar_direct/tests/start_behind_a_cut.rs
@@ -9,7 +9,7 @@
 
 use gullspar_direct::serve_caller;
 use gullspar_statement::FailureCode;
-use support::{FakeCaller, Fault, LATEST, World, pause, run, until};
+use support::{FakeCaller, Fault, LATEST, World, pause, run, wait_until};
 
 /// The time in which an instance that has just started hears of its neighbours, in milliseconds.
 const HEARD_WITHIN: u64 = 600;
@@ -27,24 +27,24 @@
     run(async {
         let world = World::new();
         let proxies = world.instances(4).await;
-        world.network.cut_between(&[1, 5], &[2, 3, 4]);
+        world.network.partition_between(&[1, 5], &[2, 3, 4]);
         for member in 0..3 {
-            world.group.set(member, Fault::DarkTo(1));
-            world.group.set(member, Fault::DarkTo(5));
+            world.group.inject_fault(member, Fault::UnresponsiveTo(1));
+            world.group.inject_fault(member, Fault::UnresponsiveTo(5));
         }
-        until(3000, "its neighbour is not ready", || !proxies[0].is_ready()).await;
+        wait_until(3000, "its neighbour is not ready", || !proxies[0].is_ready()).await;
         let started = world.instance(5);
         pause(HEARD_WITHIN).await;
         assert!(!started.is_ready());
         let (caller, link) = FakeCaller::new();
         compio::runtime::spawn(serve_caller(Rc::clone(&started), Box::new(link))).detach();
         let asked = Instant::now();
-        assert_eq!(caller.opening_refused(LATEST).await, FailureCode::Congested);
+        assert_eq!(caller.open_err(LATEST).await, FailureCode::Congested);
         assert!(asked.elapsed() < AT_ONCE, "refused after {:?}", asked.elapsed());
         world.network.heal();
-        (0..3).for_each(|it| world.group.mend(it));
-        until(3000, "both are ready", || started.is_ready() && proxies[0].is_ready()).await;
-        world.caller(&started, LATEST).await.done("WRITE slot mine").await;
+        (0..3).for_each(|it| world.group.clear_faults(it));
+        wait_until(3000, "both are ready", || started.is_ready() && proxies[0].is_ready()).await;
+        world.caller(&started, LATEST).await.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -54,14 +54,14 @@
 fn an_instance_that_has_reached_no_leader_is_not_ready() {
     run(async {
         let world = World::new();
-        (0..3).for_each(|it| world.group.set(it, Fault::DarkTo(1)));
+        (0..3).for_each(|it| world.group.inject_fault(it, Fault::UnresponsiveTo(1)));
         let proxy = world.instance(1);
         pause(HEARD_WITHIN).await;
         assert!(!proxy.is_ready());
-        (0..3).for_each(|it| world.group.mend(it));
-        until(3000, "it is ready", || proxy.is_ready()).await;
+        (0..3).for_each(|it| world.group.clear_faults(it));
+        wait_until(3000, "it is ready", || proxy.is_ready()).await;
         // Once it was, a leader that fails for everybody does not make it unready.
-        world.group.set(0, Fault::Dark);
+        world.group.inject_fault(0, Fault::Unresponsive);
         pause(500).await;
         assert!(proxy.is_ready());
     });
--- a/crates/gullspar_direct/tests/started_anew.rs
+++ b/crates/gullspar_direct/tests/started_anew.rs
@@ -7,7 +7,10 @@
 use gullspar_direct::{Catalogue, GroupLimits, TargetList};
 use gullspar_model::{GroupName, Revision};
 use gullspar_statement::FailureCode;
-use support::{BOUNDED, Fault, LATEST, OWN, catalogue, leader_of, pause, run, settled, until};
+use support::{
+    BOUNDED, Fault, LATEST, OWN_WRITES, catalogue, leader_of, pause, run, wait_until,
+    world_with_instance,
+};
 
 /// Symptom: replicas that have just been started get no reads for seconds, and their leader has too many.
 /// Events: two replicas answer slowly, are restarted and are fast again.
@@ -15,18 +18,18 @@
 #[test]
 fn slowness_before_the_start_is_not_held_against_a_target() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, BOUNDED).await;
-        world.slow_replicas(&caller).await;
+        world.slow_down_replicas(&caller).await;
         for member in [1, 2] {
-            world.group.start_anew(member);
-            world.group.mend(member);
+            world.group.restart_with_empty_log(member);
+            world.group.clear_faults(member);
         }
-        world.list_targets(&proxy, 2);
+        world.apply_target_list(&proxy, 2);
         pause(50).await;
-        caller.done("READ slot").await;
+        caller.execute_ok("READ slot").await;
         assert!(
-            !world.is_read_from_leader(),
+            !world.is_last_statement_on_leader(),
             "a replica that has just started serves reads at once"
         );
     });
@@ -38,15 +41,16 @@
 #[test]
 fn a_leader_that_started_anew_leads_only_once_it_says_so() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(0, Fault::Dark);
-        world.group.start_anew(0);
-        world.list_targets(&proxy, 2);
-        until(100, "nobody is known to lead", || leader_of(&proxy).is_none()).await;
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.group.restart_with_empty_log(0);
+        world.apply_target_list(&proxy, 2);
+        wait_until(100, "nobody is known to lead", || leader_of(&proxy).is_none()).await;
         world.group.promote(&"m1".into());
-        world.group.mend(0);
-        until(1000, "the new leader is known", || leader_of(&proxy) == Some("m1".into())).await;
-        world.caller(&proxy, LATEST).await.done("WRITE slot mine").await;
+        world.group.clear_faults(0);
+        wait_until(1000, "the new leader is known", || leader_of(&proxy) == Some("m1".into()))
+            .await;
+        world.caller(&proxy, LATEST).await.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -56,20 +60,20 @@
 #[test]
 fn connections_to_the_earlier_start_are_not_used() {
     run(async {
-        let (world, proxy) = settled().await;
-        let caller = world.caller(&proxy, OWN).await;
-        caller.done("PREPARE p READ q").await;
-        caller.done("SET zone a").await;
-        caller.done("EXECUTE p slot").await;
-        let before: Vec<u64> = world.group.ran().iter().map(|it| it.connection).collect();
+        let (world, proxy) = world_with_instance().await;
+        let caller = world.caller(&proxy, OWN_WRITES).await;
+        caller.execute_ok("PREPARE p READ q").await;
+        caller.execute_ok("SET zone a").await;
+        caller.execute_ok("EXECUTE p slot").await;
+        let before: Vec<u64> = world.group.executed().iter().map(|it| it.connection).collect();
         for member in 0..3 {
-            world.group.start_anew(member);
+            world.group.restart_with_empty_log(member);
         }
-        world.group.mend(0);
-        world.list_targets(&proxy, 2);
+        world.group.clear_faults(0);
+        world.apply_target_list(&proxy, 2);
         pause(100).await;
-        caller.done("EXECUTE p slot").await;
-        let after = world.group.ran().last().cloned().unwrap();
+        caller.execute_ok("EXECUTE p slot").await;
+        let after = world.group.executed().last().cloned().unwrap();
         assert!(!before.contains(&after.connection));
         assert_eq!(after.values, ["zone=a"]);
     });
@@ -81,15 +85,15 @@
 #[test]
 fn a_leader_that_lost_its_log_does_not_stand_for_the_commit() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, LATEST).await;
-        caller.done("WRITE slot first").await;
-        world.group.set(1, Fault::Deaf);
-        world.group.set(2, Fault::Deaf);
-        caller.begin_to_say("WRITE slot mine");
+        caller.execute_ok("WRITE slot first").await;
+        world.group.inject_fault(1, Fault::ReplicationStopped);
+        world.group.inject_fault(2, Fault::ReplicationStopped);
+        caller.send_statement("WRITE slot mine");
         pause(15).await;
-        world.group.lose_log(0);
-        world.list_targets(&proxy, 2);
+        world.group.restart_leader_with_empty_log(0);
+        world.apply_target_list(&proxy, 2);
         let answer = caller.next().await.unwrap();
         assert_eq!(answer.result.unwrap_err().code, FailureCode::Unknown);
     });
@@ -101,7 +105,7 @@
 #[test]
 fn a_target_of_a_group_that_is_not_configured_is_not_connected_to() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let mut targets = world.group.specs();
         targets[1].group = "nobody's".into();
         proxy.directory.apply_targets(
--- a/crates/gullspar_direct/tests/statements.rs
+++ b/crates/gullspar_direct/tests/statements.rs
@@ -6,16 +6,18 @@
 
 use gullspar_direct::Phase;
 use gullspar_statement::FailureCode;
-use support::{BOUNDED, Fault, LATEST, OWN, World, pause, run, settled, until};
+use support::{
+    BOUNDED, Fault, LATEST, OWN_WRITES, World, pause, run, wait_until, world_with_instance,
+};
 
 /// A read that may be old runs on a replica, and one that may not runs on the leader.
 #[test]
 fn reads_go_where_their_freshness_lets_them() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.caller(&proxy, BOUNDED).await.done("READ a").await;
-        world.caller(&proxy, LATEST).await.done("READ b").await;
-        let ran = world.group.ran();
+        let (world, proxy) = world_with_instance().await;
+        world.caller(&proxy, BOUNDED).await.execute_ok("READ a").await;
+        world.caller(&proxy, LATEST).await.execute_ok("READ b").await;
+        let ran = world.group.executed();
         assert_ne!(Some(&ran[0].member), world.group.leader().as_ref());
         assert_eq!(Some(&ran[1].member), world.group.leader().as_ref());
     });
@@ -27,13 +29,13 @@
 #[test]
 fn a_session_sees_its_own_writes_although_replicas_hear_nothing() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(1, Fault::Deaf);
-        world.group.set(2, Fault::Deaf);
-        let caller = world.caller(&proxy, OWN).await;
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(1, Fault::ReplicationStopped);
+        world.group.inject_fault(2, Fault::ReplicationStopped);
+        let caller = world.caller(&proxy, OWN_WRITES).await;
         for turn in 0..20 {
-            caller.done(&format!("WRITE item {turn}")).await;
-            assert_eq!(caller.done("READ item").await, [turn.to_string()]);
+            caller.execute_ok(&format!("WRITE item {turn}")).await;
+            assert_eq!(caller.execute_ok("READ item").await, [turn.to_string()]);
         }
     });
 }
@@ -44,14 +46,14 @@
 #[test]
 fn a_read_is_never_older_than_its_class_allows() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(1, Fault::Deaf);
-        world.group.set(2, Fault::Deaf);
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(1, Fault::ReplicationStopped);
+        world.group.inject_fault(2, Fault::ReplicationStopped);
         let writer = world.caller(&proxy, LATEST).await;
         let reader = world.caller(&proxy, BOUNDED).await;
-        writer.done("WRITE item new").await;
+        writer.execute_ok("WRITE item new").await;
         pause(support::MAX_AGE_MS + 50).await;
-        assert_eq!(reader.done("READ item").await, ["new"]);
+        assert_eq!(reader.execute_ok("READ item").await, ["new"]);
     });
 }
 
@@ -61,12 +63,12 @@
 #[test]
 fn a_superseded_leader_is_not_read_from() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, LATEST).await;
-        caller.done("READ a").await;
+        caller.execute_ok("READ a").await;
         world.group.promote(&"m1".into());
-        caller.done("READ a").await;
-        assert_eq!(world.group.ran().last().unwrap().member, "m1".into());
+        caller.execute_ok("READ a").await;
+        assert_eq!(world.group.executed().last().unwrap().member, "m1".into());
     });
 }
 
@@ -76,12 +78,12 @@
 #[test]
 fn a_read_whose_answer_is_lost_is_served_by_another_target() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(1, Fault::LosesAnswers);
-        world.group.set(2, Fault::LosesAnswers);
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(1, Fault::LosesAnswers);
+        world.group.inject_fault(2, Fault::LosesAnswers);
         let caller = world.caller(&proxy, BOUNDED).await;
         let started = std::time::Instant::now();
-        caller.done("READ a").await;
+        caller.execute_ok("READ a").await;
         assert!(started.elapsed().as_millis() < 500, "took {:?}", started.elapsed());
     });
 }
@@ -92,11 +94,11 @@
 #[test]
 fn a_write_whose_answer_is_lost_is_unknown_and_not_repeated() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(0, Fault::Resets);
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(0, Fault::ResetsConnection);
         let caller = world.caller(&proxy, LATEST).await;
-        assert_eq!(caller.refused("WRITE slot mine").await, FailureCode::Unknown);
-        assert_eq!(world.group.count("WRITE slot mine"), 1);
+        assert_eq!(caller.execute_err("WRITE slot mine").await, FailureCode::Unknown);
+        assert_eq!(world.group.execution_count("WRITE slot mine"), 1);
     });
 }
 
@@ -104,14 +106,14 @@
 #[test]
 fn a_write_waits_out_a_busy_leader() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(0, Fault::Busy);
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(0, Fault::Busy);
         let caller = world.caller(&proxy, LATEST).await;
-        caller.begin_to_say("WRITE slot mine");
+        caller.send_statement("WRITE slot mine");
         pause(100).await;
-        world.group.mend(0);
+        world.group.clear_faults(0);
         assert!(caller.next().await.unwrap().result.is_ok());
-        assert_eq!(world.group.count("WRITE slot mine"), 1);
+        assert_eq!(world.group.execution_count("WRITE slot mine"), 1);
     });
 }
 
@@ -121,17 +123,17 @@
 #[test]
 fn a_lost_commit_is_unknown_only_if_something_was_written() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, LATEST).await;
-        caller.done("BEGIN").await;
-        caller.done("WRITE slot mine").await;
-        world.group.set(0, Fault::Resets);
-        assert_eq!(caller.refused("COMMIT").await, FailureCode::Unknown);
-        world.group.mend(0);
-        caller.done("BEGIN").await;
-        caller.done("READ slot").await;
-        world.group.set(0, Fault::Resets);
-        assert_eq!(caller.refused("COMMIT").await, FailureCode::RolledBack);
+        caller.execute_ok("BEGIN").await;
+        caller.execute_ok("WRITE slot mine").await;
+        world.group.inject_fault(0, Fault::ResetsConnection);
+        assert_eq!(caller.execute_err("COMMIT").await, FailureCode::Unknown);
+        world.group.clear_faults(0);
+        caller.execute_ok("BEGIN").await;
+        caller.execute_ok("READ slot").await;
+        world.group.inject_fault(0, Fault::ResetsConnection);
+        assert_eq!(caller.execute_err("COMMIT").await, FailureCode::RolledBack);
     });
 }
 
@@ -141,19 +143,19 @@
 #[test]
 fn a_transaction_that_loses_its_connection_before_commit_is_rolled_back() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, LATEST).await;
-        caller.done("BEGIN").await;
-        caller.done("WRITE slot one").await;
-        world.group.set(0, Fault::Resets);
-        assert_eq!(caller.refused("WRITE slot two").await, FailureCode::RolledBack);
-        world.group.mend(0);
-        assert_eq!(caller.refused("READ slot").await, FailureCode::Malformed);
-        caller.done("ROLLBACK").await;
+        caller.execute_ok("BEGIN").await;
+        caller.execute_ok("WRITE slot one").await;
+        world.group.inject_fault(0, Fault::ResetsConnection);
+        assert_eq!(caller.execute_err("WRITE slot two").await, FailureCode::RolledBack);
+        world.group.clear_faults(0);
+        assert_eq!(caller.execute_err("READ slot").await, FailureCode::Malformed);
+        caller.execute_ok("ROLLBACK").await;
         assert_eq!(world.group.value("slot"), None);
-        caller.done("BEGIN").await;
-        caller.done("WRITE slot again").await;
-        caller.done("COMMIT").await;
+        caller.execute_ok("BEGIN").await;
+        caller.execute_ok("WRITE slot again").await;
+        caller.execute_ok("COMMIT").await;
         assert_eq!(world.group.value("slot"), Some("again".to_owned()));
     });
 }
@@ -162,17 +164,17 @@
 #[test]
 fn a_transaction_keeps_its_connection_to_itself() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let one = world.caller(&proxy, LATEST).await;
         let other = world.caller(&proxy, LATEST).await;
-        one.done("BEGIN").await;
-        one.done("READ one").await;
+        one.execute_ok("BEGIN").await;
+        one.execute_ok("READ one").await;
         for _ in 0..5 {
-            other.done("READ other").await;
+            other.execute_ok("READ other").await;
         }
-        one.done("WRITE one 1").await;
-        one.done("COMMIT").await;
-        let ran = world.group.ran();
+        one.execute_ok("WRITE one 1").await;
+        one.execute_ok("COMMIT").await;
+        let ran = world.group.executed();
         let of_one: Vec<u64> =
             ran.iter().filter(|it| !it.text.contains("other")).map(|it| it.connection).collect();
         assert!(of_one.iter().all(|it| *it == of_one[0]), "{ran:?}");
@@ -187,20 +189,20 @@
 #[test]
 fn sessions_do_not_see_each_others_values_and_prepared_statements() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let one = world.caller(&proxy, LATEST).await;
         let other = world.caller(&proxy, LATEST).await;
         let plain = world.caller(&proxy, LATEST).await;
-        one.done("SET zone east").await;
-        other.done("SET zone west").await;
-        one.done("PREPARE s READ q1").await;
-        other.done("PREPARE s WRITE q2").await;
+        one.execute_ok("SET zone east").await;
+        other.execute_ok("SET zone west").await;
+        one.execute_ok("PREPARE s READ q1").await;
+        other.execute_ok("PREPARE s WRITE q2").await;
         for _ in 0..3 {
-            one.done("EXECUTE s a").await;
-            other.done("EXECUTE s a 1").await;
-            plain.done("READ b").await;
+            one.execute_ok("EXECUTE s a").await;
+            other.execute_ok("EXECUTE s a 1").await;
+            plain.execute_ok("READ b").await;
         }
-        for ran in world.group.ran() {
+        for ran in world.group.executed() {
             let wanted: &[&str] = match ran.text.as_str() {
                 "READ q1 a" => &["zone=east"],
                 "WRITE q2 a 1" => &["zone=west"],
@@ -209,9 +211,9 @@
             };
             assert_eq!(ran.values, wanted, "{}", ran.text);
         }
-        assert_eq!(plain.refused("EXECUTE s a").await, FailureCode::NoSuchPrepared);
-        one.done("DEALLOC s").await;
-        assert_eq!(one.refused("EXECUTE s a").await, FailureCode::NoSuchPrepared);
+        assert_eq!(plain.execute_err("EXECUTE s a").await, FailureCode::NoSuchPrepared);
+        one.execute_ok("DEALLOC s").await;
+        assert_eq!(one.execute_err("EXECUTE s a").await, FailureCode::NoSuchPrepared);
     });
 }
 
@@ -221,14 +223,14 @@
 #[test]
 fn a_transaction_that_stands_still_is_rolled_back() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, LATEST).await;
-        caller.done("BEGIN").await;
-        caller.done("WRITE slot mine").await;
-        pause(support::TRANSACTION_IDLE_MS + 200).await;
-        assert_eq!(caller.refused("COMMIT").await, FailureCode::RolledBack);
+        caller.execute_ok("BEGIN").await;
+        caller.execute_ok("WRITE slot mine").await;
+        pause(support::TRANSACTION_IDLE_TIMEOUT_MS + 200).await;
+        assert_eq!(caller.execute_err("COMMIT").await, FailureCode::RolledBack);
         assert_eq!(world.group.value("slot"), None);
-        caller.done("READ slot").await;
+        caller.execute_ok("READ slot").await;
     });
 }
 
@@ -236,12 +238,12 @@
 #[test]
 fn a_caller_that_leaves_is_rolled_back() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, LATEST).await;
-        caller.done("BEGIN").await;
-        caller.done("WRITE slot mine").await;
-        caller.leave();
-        until(1000, "the session ends", || proxy.shutdown.sessions() == 0).await;
+        caller.execute_ok("BEGIN").await;
+        caller.execute_ok("WRITE slot mine").await;
+        caller.disconnect();
+        wait_until(1000, "the session ends", || proxy.shutdown.sessions() == 0).await;
         assert_eq!(world.group.value("slot"), None);
     });
 }
@@ -250,13 +252,13 @@
 #[test]
 fn a_reading_transaction_writes_nothing() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, LATEST).await;
-        caller.done("BEGIN READ").await;
-        caller.done("READ a").await;
-        assert_eq!(caller.refused("WRITE a 1").await, FailureCode::ReadOnly);
-        caller.done("ROLLBACK").await;
-        assert_eq!(world.group.count("WRITE a 1"), 0);
+        caller.execute_ok("BEGIN READ").await;
+        caller.execute_ok("READ a").await;
+        assert_eq!(caller.execute_err("WRITE a 1").await, FailureCode::ReadOnly);
+        caller.execute_ok("ROLLBACK").await;
+        assert_eq!(world.group.execution_count("WRITE a 1"), 0);
     });
 }
 
@@ -266,23 +268,23 @@
 #[test]
 fn a_shutdown_answers_what_is_under_way() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.work_ms.set(150);
+        let (world, proxy) = world_with_instance().await;
+        world.group.statement_duration_ms.set(150);
         let busy = world.caller(&proxy, LATEST).await;
         let idle = world.caller(&proxy, LATEST).await;
         let open = world.caller(&proxy, LATEST).await;
-        open.done("BEGIN").await;
-        open.done("READ a").await;
-        busy.begin_to_say("WRITE slot mine");
+        open.execute_ok("BEGIN").await;
+        open.execute_ok("READ a").await;
+        busy.send_statement("WRITE slot mine");
         pause(20).await;
         proxy.shutdown.enter(Phase::Unready);
         assert!(!proxy.is_ready());
-        idle.done("READ a").await;
+        idle.execute_ok("READ a").await;
         proxy.shutdown.enter(Phase::ClosingIdle);
         assert!(busy.next().await.unwrap().result.is_ok(), "the running statement is answered");
         assert_eq!(idle.next().await, None, "the idle session is closed");
-        open.done("WRITE slot other").await;
-        open.done("COMMIT").await;
+        open.execute_ok("WRITE slot other").await;
+        open.execute_ok("COMMIT").await;
         assert_eq!(open.next().await, None, "the open transaction had its time");
         assert_eq!(proxy.shutdown.sessions(), 0);
     });
@@ -292,17 +294,17 @@
 #[test]
 fn services_come_and_go_with_the_configuration() {
     run(async {
-        let (world, proxy) = settled().await;
+        let (world, proxy) = world_with_instance().await;
         let caller = world.caller(&proxy, BOUNDED).await;
-        caller.done("READ a").await;
+        caller.execute_ok("READ a").await;
         let mut without = support::catalogue(2);
         without.routes.remove(&BOUNDED.into());
         proxy.directory.apply_catalogue(without);
-        assert_eq!(caller.refused("READ a").await, FailureCode::NoSuchService);
+        assert_eq!(caller.execute_err("READ a").await, FailureCode::NoSuchService);
         proxy.directory.apply_catalogue(support::catalogue(1));
-        assert_eq!(caller.refused("READ a").await, FailureCode::NoSuchService);
+        assert_eq!(caller.execute_err("READ a").await, FailureCode::NoSuchService);
         proxy.directory.apply_catalogue(support::catalogue(3));
-        caller.done("READ a").await;
+        caller.execute_ok("READ a").await;
     });
 }
 
@@ -313,18 +315,18 @@
 #[test]
 fn idle_connections_are_given_up_but_for_one() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.work_ms.set(50);
+        let (world, proxy) = world_with_instance().await;
+        world.group.statement_duration_ms.set(50);
         let mut callers = Vec::new();
         for _ in 0..4 {
             callers.push(world.caller(&proxy, LATEST).await);
         }
-        callers.iter().for_each(|it| it.begin_to_say("READ a"));
-        until(1000, "several connections are open", || world.group.connections(0) > 2).await;
+        callers.iter().for_each(|it| it.send_statement("READ a"));
+        wait_until(1000, "several connections are open", || world.group.connections(0) > 2).await;
         for it in &callers {
             assert!(it.next().await.unwrap().result.is_ok());
         }
-        until(2500, "one connection is left", || world.group.connections(0) <= 1).await;
+        wait_until(2500, "one connection is left", || world.group.connections(0) <= 1).await;
     });
 }
 
@@ -335,15 +337,15 @@
 #[test]
 fn a_write_is_acknowledged_once_a_replica_has_it() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(1, Fault::Deaf);
-        world.group.set(2, Fault::Deaf);
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(1, Fault::ReplicationStopped);
+        world.group.inject_fault(2, Fault::ReplicationStopped);
         let caller = world.caller(&proxy, LATEST).await;
-        caller.begin_to_say("WRITE slot mine");
+        caller.send_statement("WRITE slot mine");
         pause(40).await;
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()), "the leader has it");
         assert!(!caller.has_answer(), "and the caller is not told yet");
-        world.group.mend(1);
+        world.group.clear_faults(1);
         assert!(caller.next().await.unwrap().result.is_ok());
         world.group.promote(&"m1".into());
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()));
@@ -355,12 +357,12 @@
 #[test]
 fn a_write_does_not_wait_for_deaf_replicas_for_ever() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(1, Fault::Deaf);
-        world.group.set(2, Fault::Deaf);
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(1, Fault::ReplicationStopped);
+        world.group.inject_fault(2, Fault::ReplicationStopped);
         let caller = world.caller(&proxy, LATEST).await;
         let started = std::time::Instant::now();
-        caller.done("WRITE slot mine").await;
+        caller.execute_ok("WRITE slot mine").await;
         let took = started.elapsed().as_millis();
         assert!((70..400).contains(&took), "took {took} ms");
     });
@@ -371,11 +373,11 @@
 #[test]
 fn a_write_of_a_superseded_leader_is_not_acknowledged() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(1, Fault::Deaf);
-        world.group.set(2, Fault::Deaf);
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(1, Fault::ReplicationStopped);
+        world.group.inject_fault(2, Fault::ReplicationStopped);
         let caller = world.caller(&proxy, LATEST).await;
-        caller.begin_to_say("WRITE slot mine");
+        caller.send_statement("WRITE slot mine");
         pause(20).await;
         world.group.promote(&"m1".into());
         proxy.group(&support::GROUP.into()).unwrap();
@@ -392,11 +394,11 @@
 #[test]
 fn a_leader_that_was_superseded_unseen_does_not_acknowledge_alone() {
     run(async {
-        let (world, proxy) = settled().await;
-        world.group.set(1, Fault::DarkTo(1));
-        world.group.set(2, Fault::DarkTo(1));
+        let (world, proxy) = world_with_instance().await;
+        world.group.inject_fault(1, Fault::UnresponsiveTo(1));
+        world.group.inject_fault(2, Fault::UnresponsiveTo(1));
         let caller = world.caller(&proxy, LATEST).await;
-        caller.begin_to_say("WRITE slot mine");
+        caller.send_statement("WRITE slot mine");
         pause(20).await;
         world.group.promote_without_last(&"m1".into());
         let answer = caller.next().await.unwrap();
@@ -412,12 +414,12 @@
 fn a_connection_that_is_about_to_come_back_is_waited_for() {
     run(async {
         let world = World::new();
-        world.group.rollback_ms.set(1);
+        world.group.rollback_duration_ms.set(1);
         let proxy = world.instance(1);
-        world.settle(&proxy).await;
+        world.wait_for_leader(&proxy).await;
         let caller = world.caller(&proxy, LATEST).await;
         for _ in 0..20 {
-            caller.done("READ slot").await;
+            caller.execute_ok("READ slot").await;
         }
         assert_eq!(world.group.connections(0), 1);
     });
--- a/crates/gullspar_direct/tests/support/fake_caller.rs
+++ b/crates/gullspar_direct/tests/support/fake_caller.rs
@@ -48,21 +48,21 @@
     }
 
     pub async fn open(&self, service: &str) {
-        self.open_with(service, None).await;
+        self.open_with_key(service, None).await;
     }
 
-    pub async fn open_with(&self, service: &str, key: Option<&str>) {
+    pub async fn open_with_key(&self, service: &str, key: Option<&str>) {
         let key = key.map(KeyFingerprint::of);
         self.send(CallerMessage::Open { service: service.into(), key });
         assert_eq!(self.next().await.map(|it| it.result), Some(Ok(None)), "the session opens");
     }
 
     /// Opens a session that must be refused; gives the code.
-    pub async fn opening_refused(&self, service: &str) -> FailureCode {
-        self.opening_refused_with(service, None).await
+    pub async fn open_err(&self, service: &str) -> FailureCode {
+        self.open_err_with_key(service, None).await
     }
 
-    pub async fn opening_refused_with(&self, service: &str, key: Option<&str>) -> FailureCode {
+    pub async fn open_err_with_key(&self, service: &str, key: Option<&str>) -> FailureCode {
         let key = key.map(KeyFingerprint::of);
         self.send(CallerMessage::Open { service: service.into(), key });
         let answer = self.next().await.expect("the session answers");
@@ -70,7 +70,7 @@
     }
 
     /// Sends a statement without waiting for its answer.
-    pub fn begin_to_say(&self, text: &str) {
+    pub fn send_statement(&self, text: &str) {
         let id = NEXT_ID.fetch_add(1, Ordering::Relaxed).to_string();
         let action = action(text);
         self.send(CallerMessage::Statement(Statement {
@@ -81,21 +81,21 @@
     }
 
     /// Sends a statement and waits for its answer.
-    pub async fn say(&self, text: &str) -> Answer {
-        self.begin_to_say(text);
+    pub async fn execute(&self, text: &str) -> Answer {
+        self.send_statement(text);
         self.next().await.expect("the session answers")
     }
 
     /// Sends a statement whose success is expected; gives its rows.
-    pub async fn done(&self, text: &str) -> Vec<String> {
-        let answer = self.say(text).await;
+    pub async fn execute_ok(&self, text: &str) -> Vec<String> {
+        let answer = self.execute(text).await;
         assert!(answer.result.is_ok(), "{text}: {:?}", answer.result);
         answer.rows.iter().map(ToString::to_string).collect()
     }
 
     /// Sends a statement that must fail; gives the code.
-    pub async fn refused(&self, text: &str) -> FailureCode {
-        let answer = self.say(text).await;
+    pub async fn execute_err(&self, text: &str) -> FailureCode {
+        let answer = self.execute(text).await;
         answer.result.expect_err(text).code
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Leaves without a word.
-    pub fn leave(&self) {
+    pub fn disconnect(&self) {
         self.tx.borrow_mut().take();
     }
 }
--- a/crates/gullspar_direct/tests/support/fake_claims.rs
+++ b/crates/gullspar_direct/tests/support/fake_claims.rs
@@ -15,9 +15,9 @@
     standing: RefCell<Option<CurrentClaim>>,
     counter: Cell<u64>,
     /// Calls fail without effect.
-    pub away: Cell<bool>,
+    pub unavailable: Cell<bool>,
     /// Instances by number whose calls alone fail without effect.
-    away_for: RefCell<BTreeSet<u16>>,
+    unavailable_to: RefCell<BTreeSet<u16>>,
     /// Claims take effect and their answers are lost.
     pub loses_answers: Cell<bool>,
     pub calls: Cell<u64>,
@@ -30,7 +30,7 @@
     }
 
     /// Puts something there that is no claim, as another writer might.
-    pub fn put_garbage(&self) -> FencingToken {
+    pub fn put_invalid(&self) -> FencingToken {
         self.replace(None)
     }
 
@@ -40,8 +40,8 @@
     }
 
     /// Has the store turn instance `number` away.
-    pub fn turn_away(&self, number: u16) {
-        self.away_for.borrow_mut().insert(number);
+    pub fn make_unavailable_to(&self, number: u16) {
+        self.unavailable_to.borrow_mut().insert(number);
     }
 
     /// The instance that holds the claim, if anybody does.
@@ -64,8 +64,8 @@
 }
 
 impl Channel {
-    fn is_away(&self) -> bool {
-        self.claims.away.get() || self.claims.away_for.borrow().contains(&self.number)
+    fn is_unavailable(&self) -> bool {
+        self.claims.unavailable.get() || self.claims.unavailable_to.borrow().contains(&self.number)
     }
 }
 
@@ -75,7 +75,7 @@
         _group: &'a GroupName,
     ) -> LocalBoxFuture<'a, Result<Option<CurrentClaim>, ClaimError>> {
         self.claims.calls.set(self.claims.calls.get() + 1);
-        let result = if self.is_away() {
+        let result = if self.is_unavailable() {
             Err(ClaimError::Refused("away".to_owned()))
         } else {
             Ok(self.claims.standing.borrow().clone())
@@ -91,7 +91,7 @@
     ) -> LocalBoxFuture<'a, Result<FencingToken, ClaimError>> {
         self.claims.calls.set(self.claims.calls.get() + 1);
         let standing = self.claims.standing.borrow().as_ref().map(|it| it.token);
-        let result = if self.is_away() {
+        let result = if self.is_unavailable() {
             Err(ClaimError::Refused("away".to_owned()))
         } else if standing != over {
             Err(ClaimError::Taken(standing.unwrap_or(FencingToken(0))))
--- a/crates/gullspar_direct/tests/support/fake_group.rs
+++ b/crates/gullspar_direct/tests/support/fake_group.rs
@@ -51,20 +51,20 @@
     pub(super) next_connection: Cell<u64>,
     turn: Cell<u64>,
     /// Statements that failed.
-    pub failed: Cell<u32>,
+    pub failed_statements: Cell<u32>,
     /// How long a caller's statement takes, in milliseconds.
-    pub work_ms: Cell<u64>,
+    pub statement_duration_ms: Cell<u64>,
     /// How long a rollback takes, in milliseconds.
-    pub rollback_ms: Cell<u64>,
+    pub rollback_duration_ms: Cell<u64>,
     /// Connections that each member takes, if there is a bound.
-    pub most_connections: Cell<Option<u32>>,
+    pub max_connections: Cell<Option<u32>>,
     /// Connections of instances that are gone, which each member still keeps.
-    pub kept_for_the_dead: Cell<u32>,
+    pub stale_connections: Cell<u32>,
     /// How long opening a connection takes, in milliseconds.
-    pub open_ms: Cell<u64>,
+    pub connect_duration_ms: Cell<u64>,
     /// Connections opened, and those refused for want of room.
-    pub opened: Cell<u32>,
-    pub turned_away: Cell<u32>,
+    pub opened_connections: Cell<u32>,
+    pub refused_connections: Cell<u32>,
 }
 
 impl FakeGroup {
@@ -91,14 +91,14 @@
             ran: RefCell::default(),
             next_connection: Cell::new(1),
             turn: Cell::new(0),
-            failed: Cell::new(0),
-            work_ms: Cell::new(1),
-            rollback_ms: Cell::new(0),
-            most_connections: Cell::new(None),
-            kept_for_the_dead: Cell::new(0),
-            open_ms: Cell::new(0),
-            opened: Cell::new(0),
-            turned_away: Cell::new(0),
+            failed_statements: Cell::new(0),
+            statement_duration_ms: Cell::new(1),
+            rollback_duration_ms: Cell::new(0),
+            max_connections: Cell::new(None),
+            stale_connections: Cell::new(0),
+            connect_duration_ms: Cell::new(0),
+            opened_connections: Cell::new(0),
+            refused_connections: Cell::new(0),
         })
     }
 
@@ -124,33 +124,33 @@
         Some(self.members[self.leader.get()].name.clone())
     }
 
-    pub fn set(&self, member: usize, fault: Fault) {
+    pub fn inject_fault(&self, member: usize, fault: Fault) {
         self.members[member].faults.borrow_mut().insert(fault);
     }
 
-    pub fn mend(&self, member: usize) {
+    pub fn clear_faults(&self, member: usize) {
         self.members[member].faults.borrow_mut().clear();
     }
 
-    pub fn leaves(&self, member: usize) {
+    pub fn mark_leaving(&self, member: usize) {
         self.members[member].leaving.set(true);
     }
 
     /// Has a member stay after all.
-    pub fn stays(&self, member: usize) {
+    pub fn cancel_leaving(&self, member: usize) {
         self.members[member].leaving.set(false);
     }
 
     /// Has a member start anew under its name, deaf, with an empty log.
-    pub fn start_anew(&self, member: usize) {
+    pub fn restart_with_empty_log(&self, member: usize) {
         let member = &self.members[member];
         member.started_ms.set(member.started_ms.get() + 1);
         member.has.set(0);
-        member.faults.borrow_mut().insert(Fault::Deaf);
+        member.faults.borrow_mut().insert(Fault::ReplicationStopped);
     }
 
     /// Has the leader start anew with an empty log, leading all the same.
-    pub fn lose_log(&self, member: usize) {
+    pub fn restart_leader_with_empty_log(&self, member: usize) {
         let started_ms = &self.members[member].started_ms;
         started_ms.set(started_ms.get() + 1);
         self.commits.set(0);
@@ -165,7 +165,7 @@
         let kept = self.members[at].has.get();
         self.data.borrow_mut().retain(|_, (_, number)| *number <= kept);
         // One that hears nothing keeps what it has.
-        let hearing = self.members.iter().filter(|it| !self.has(it, Fault::Deaf));
+        let hearing = self.members.iter().filter(|it| !self.has(it, Fault::ReplicationStopped));
         hearing.for_each(|it| it.has.set(it.has.get().min(kept)));
         self.commits.set(kept);
         self.leader.set(at);
@@ -180,12 +180,12 @@
     }
 
     /// All statements of callers that ran, in order.
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn executed(&self) -> Vec<Ran> {
         self.ran.borrow().clone()
     }
 
     /// How many statements with this text ran.
-    pub fn count(&self, text: &str) -> usize {
+    pub fn execution_count(&self, text: &str) -> usize {
         self.ran.borrow().iter().filter(|it| it.text == text).count()
     }
 
@@ -213,7 +213,7 @@
 
     /// What the member's log reaches to.
     pub(super) fn point(&self, member: &Member) -> LogPoint {
-        let deaf = self.has(member, Fault::Deaf);
+        let deaf = self.has(member, Fault::ReplicationStopped);
         if self.leads(member) || !deaf {
             member.has.set(self.commits.get());
             member.term.set(self.newest_commit_term.get());
--- a/crates/gullspar_direct/tests/support/fake_peers.rs
+++ b/crates/gullspar_direct/tests/support/fake_peers.rs
@@ -32,27 +32,27 @@
     }
 
     /// Cuts an instance off from all others.
-    pub fn cut(&self, number: u16) {
+    pub fn partition(&self, number: u16) {
         self.cut_off.borrow_mut().insert(SocketAddr::from(([127, 0, 0, 1], number)));
     }
 
     /// Ends all sessions between instances at once, as when a home dies.
-    pub fn break_sessions(&self) {
+    pub fn drop_sessions(&self) {
         self.sessions.borrow_mut().clear();
     }
 
     /// Cuts all of `some` from all of `others`.
-    pub fn cut_between(&self, some: &[u16], others: &[u16]) {
+    pub fn partition_between(&self, some: &[u16], others: &[u16]) {
         for one in some {
             for other in others {
-                self.cut_one_way(*one, *other);
-                self.cut_one_way(*other, *one);
+                self.block_one_way(*one, *other);
+                self.block_one_way(*other, *one);
             }
         }
     }
 
     /// Lets nothing through from `from` to `to`; what goes the other way arrives.
-    pub fn cut_one_way(&self, from: u16, to: u16) {
+    pub fn block_one_way(&self, from: u16, to: u16) {
         let address = |number: u16| SocketAddr::from(([127, 0, 0, 1], number));
         self.cut_pairs.borrow_mut().insert((address(from), address(to)));
     }
--- a/crates/gullspar_direct/tests/support/fake_promoter.rs
+++ b/crates/gullspar_direct/tests/support/fake_promoter.rs
@@ -25,9 +25,9 @@
     orders: Rc<RefCell<Vec<Order>>>,
     highest: Rc<Cell<u64>>,
     /// How long a promotion takes, in milliseconds.
-    pub takes_ms: Cell<u64>,
+    pub duration_ms: Cell<u64>,
     /// The next orders get no answer and are not carried out.
-    pub ignores: Cell<u32>,
+    pub orders_to_ignore: Cell<u32>,
 }
 
 impl FakePromoter {
@@ -36,8 +36,8 @@
             group,
             orders: Rc::default(),
             highest: Rc::default(),
-            takes_ms: Cell::new(300),
-            ignores: Cell::new(0),
+            duration_ms: Cell::new(300),
+            orders_to_ignore: Cell::new(0),
         })
     }
 
@@ -59,12 +59,12 @@
             return async { Err(PromoteError::Superseded) }.boxed_local();
         }
         self.highest.set(token.0);
-        if self.ignores.get() > 0 {
-            self.ignores.set(self.ignores.get() - 1);
+        if self.orders_to_ignore.get() > 0 {
+            self.orders_to_ignore.set(self.orders_to_ignore.get() - 1);
             return async { Err(PromoteError::NoAnswer("lost".to_owned())) }.boxed_local();
         }
         let (group, member) = (Rc::clone(&self.group), claim.member.clone());
-        let (highest, takes) = (Rc::clone(&self.highest), self.takes_ms.get());
+        let (highest, takes) = (Rc::clone(&self.highest), self.duration_ms.get());
         compio::runtime::spawn(async move {
             compio::time::sleep(Duration::from_millis(takes)).await;
             if highest.get() == token.0 {
--- a/crates/gullspar_direct/tests/support/fake_registry.rs
+++ b/crates/gullspar_direct/tests/support/fake_registry.rs
@@ -13,25 +13,25 @@
 pub struct FakeRegistry {
     entries: RefCell<BTreeMap<InstanceId, Member>>,
     /// It answers nothing.
-    pub silent: Cell<bool>,
+    pub unresponsive: Cell<bool>,
     /// Times that an instance was entered.
-    pub entered: Cell<u32>,
+    pub registrations: Cell<u32>,
 }
 
 impl FakeRegistry {
     /// An entry of an earlier run.
-    pub fn keep(&self, member: Member) {
+    pub fn insert(&self, member: Member) {
         self.entries.borrow_mut().insert(member.id.clone(), member);
     }
 }
 
 impl Registry for FakeRegistry {
     fn register<'a>(&'a self, member: &'a Member) -> LocalBoxFuture<'a, Result<(), RegistryError>> {
-        if self.silent.get() {
+        if self.unresponsive.get() {
             return futures::future::pending().boxed_local();
         }
-        self.entered.set(self.entered.get() + 1);
-        self.keep(member.clone());
+        self.registrations.set(self.registrations.get() + 1);
+        self.insert(member.clone());
         async { Ok(()) }.boxed_local()
     }
 
@@ -40,7 +40,7 @@
     }
 
     fn entries(&self) -> LocalBoxFuture<'_, Result<Vec<Member>, RegistryError>> {
-        if self.silent.get() {
+        if self.unresponsive.get() {
             return futures::future::pending().boxed_local();
         }
         let entries = self.entries.borrow().values().cloned().collect();
--- a/crates/gullspar_direct/tests/support/fake_target.rs
+++ b/crates/gullspar_direct/tests/support/fake_target.rs
@@ -34,19 +34,20 @@
                 compio::time::sleep_until(deadline).await;
                 return Err(OpenError::Unreachable("dark".to_owned()));
             }
-            let full_to = Fault::FullTo(self.instance);
-            if self.group.has(member, Fault::Full) || self.group.has(member, full_to) {
+            let full_to = Fault::RefusesConnectionsFrom(self.instance);
+            if self.group.has(member, Fault::RefusesConnections) || self.group.has(member, full_to)
+            {
                 let failure = Failure::new(FailureCode::TooManyConnections, "full");
                 return Err(OpenError::Refused(failure));
             }
             let group = &self.group;
-            let held = member.connections.get() + group.kept_for_the_dead.get();
-            if group.most_connections.get().is_some_and(|most| held >= most) {
-                group.turned_away.set(group.turned_away.get() + 1);
+            let held = member.connections.get() + group.stale_connections.get();
+            if group.max_connections.get().is_some_and(|most| held >= most) {
+                group.refused_connections.set(group.refused_connections.get() + 1);
                 let failure = Failure::new(FailureCode::TooManyConnections, "no room");
                 return Err(OpenError::Refused(failure));
             }
-            group.opened.set(group.opened.get() + 1);
+            group.opened_connections.set(group.opened_connections.get() + 1);
             let connection = self.group.next_connection.get();
             self.group.next_connection.set(connection + 1);
             member.connections.set(member.connections.get() + 1);
@@ -62,8 +63,8 @@
                 prepared: BTreeMap::new(),
                 broken: false,
             };
-            if group.open_ms.get() > 0 {
-                compio::time::sleep(Duration::from_millis(group.open_ms.get())).await;
+            if group.connect_duration_ms.get() > 0 {
+                compio::time::sleep(Duration::from_millis(group.connect_duration_ms.get())).await;
             }
             Ok(OpenedTarget { link: Box::new(link), point })
         }
@@ -72,7 +73,7 @@
 }
 
 fn is_dark(group: &FakeGroup, member: &Member, instance: u16) -> bool {
-    group.has(member, Fault::Dark) || group.has(member, Fault::DarkTo(instance))
+    group.has(member, Fault::Unresponsive) || group.has(member, Fault::UnresponsiveTo(instance))
 }
 
 struct OpenTransaction {
@@ -142,9 +143,9 @@
                 None
             }),
             TargetCommand::RollBack => {
-                let rollback_ms = self.group.rollback_ms.get();
-                if rollback_ms > 0 {
-                    compio::time::sleep(Duration::from_millis(rollback_ms)).await;
+                let rollback_duration_ms = self.group.rollback_duration_ms.get();
+                if rollback_duration_ms > 0 {
+                    compio::time::sleep(Duration::from_millis(rollback_duration_ms)).await;
                 }
                 self.transaction = None;
                 Ok(None)
@@ -190,11 +191,11 @@
         }
         // A commit that fails is its caller's to know: nothing else can run in its place.
         let may_fail = text != "COMMIT";
-        let half = self.group.has(&self.member, Fault::FailsHalf)
+        let half = self.group.has(&self.member, Fault::FailsEverySecond)
             && may_fail
             && self.group.next_turn().is_multiple_of(2);
-        if half || may_fail && self.group.has(&self.member, Fault::Fails) {
-            self.group.failed.set(self.group.failed.get() + 1);
+        if half || may_fail && self.group.has(&self.member, Fault::FailsStatements) {
+            self.group.failed_statements.set(self.group.failed_statements.get() + 1);
             if let Some(open) = &mut self.transaction {
                 open.failed = true;
             }
@@ -204,7 +205,7 @@
             Fault::Slow(ms) => Some(*ms),
             _ => None,
         });
-        let work_ms = self.group.work_ms.get() + slow.unwrap_or(0);
+        let work_ms = self.group.statement_duration_ms.get() + slow.unwrap_or(0);
         compio::time::sleep(Duration::from_millis(work_ms)).await;
         let (rows, result) = self.carry_out(text);
         if result.is_ok() {
@@ -219,7 +220,7 @@
         if self.group.has(&self.member, Fault::LosesAnswers) {
             future::pending::<()>().await;
         }
-        if self.group.has(&self.member, Fault::Resets) {
+        if self.group.has(&self.member, Fault::ResetsConnection) {
             self.broken = true;
             return Err(io::Error::from(io::ErrorKind::ConnectionReset).into());
         }
--- a/crates/gullspar_direct/tests/support/mod.rs
+++ b/crates/gullspar_direct/tests/support/mod.rs
@@ -39,26 +39,26 @@
 /// Services of the test configuration, one for each class of callers.
 pub const LATEST: &str = "bookings";
 pub const BOUNDED: &str = "map";
-pub const OWN: &str = "feeds";
+pub const OWN_WRITES: &str = "feeds";
 
-/// Greatest age of data in milliseconds for callers of `BOUNDED` and `OWN`.
+/// Greatest age of data in milliseconds for callers of `BOUNDED` and `OWN_WRITES`.
 pub const MAX_AGE_MS: u64 = 1500;
 
 /// Time that one statement may take, in milliseconds.
-pub const STATEMENT_MS: u64 = 1000;
+pub const STATEMENT_TIMEOUT_MS: u64 = 1000;
 
 /// Idle time after which a transaction is rolled back, in milliseconds.
-pub const TRANSACTION_IDLE_MS: u64 = 400;
+pub const TRANSACTION_IDLE_TIMEOUT_MS: u64 = 400;
 
 /// How long the last holder of a claim is alone.
-pub const LEASE: Duration = Duration::from_millis(1500);
+pub const CLAIM_LEASE: Duration = Duration::from_millis(1500);
 
 /// The time in which a failed leader is replaced, in milliseconds: two checks without an answer, the views of the
 /// others, a claim, and the 300 ms that the fake promotion takes. Instances also look for 1.5 s after their start.
-pub const REPLACED_WITHIN: u64 = 5000;
+pub const FAILOVER_TIMEOUT_MS: u64 = 5000;
 
 /// How long a target that leaves is given new work.
-pub const LEAVING_SERVES: Duration = Duration::from_millis(1200);
+pub const LEAVING_TARGET_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// How long after their start instances judge leaders, in milliseconds: 1,500, and some for the way there.
 const JUDGE_AFTER_MS: u64 = 1700;
@@ -89,7 +89,7 @@
 }
 
 /// Waits until `reached`, and fails the test if that takes longer than `ms`.
-pub async fn until(ms: u64, what: &str, reached: impl Fn() -> bool) {
+pub async fn wait_until(ms: u64, what: &str, reached: impl Fn() -> bool) {
     let deadline = Instant::now() + Duration::from_millis(ms);
     while !reached() {
         assert!(Instant::now() < deadline, "{what} within {ms} ms");
@@ -117,7 +117,7 @@
     }
 
     /// An instance that goes by `catalogue`.
-    pub fn instance_with(&self, number: u16, catalogue: Catalogue) -> Rc<Proxy> {
+    pub fn instance_with_catalogue(&self, number: u16, catalogue: Catalogue) -> Rc<Proxy> {
         self.start(member(number), 1, Some(catalogue))
     }
 
@@ -153,15 +153,15 @@
             data_centre,
             strength,
             address,
-            claim_lease: LEASE,
-            leaving_target_timeout: LEAVING_SERVES,
+            claim_lease: CLAIM_LEASE,
+            leaving_target_timeout: LEAVING_TARGET_TIMEOUT,
         };
         let proxy = Proxy::new(own, vec![SocketAddr::from(([127, 0, 0, 1], seed))], borders);
         self.network.join(address, Rc::clone(&proxy));
         if let Some(catalogue) = catalogue {
             proxy.directory.apply_catalogue(catalogue);
         }
-        self.list_targets(&proxy, 1);
+        self.apply_target_list(&proxy, 1);
         compio::runtime::spawn(Rc::clone(&proxy).run()).detach();
         proxy
     }
@@ -170,7 +170,7 @@
     pub async fn instances(&self, count: u16) -> Vec<Rc<Proxy>> {
         let proxies: Vec<Rc<Proxy>> = (1..=count).map(|it| self.instance(it)).collect();
         for proxy in &proxies {
-            self.settle(proxy).await;
+            self.wait_for_leader(proxy).await;
         }
         pause(JUDGE_AFTER_MS).await;
         proxies
@@ -179,41 +179,43 @@
     /// Instances of a fleet of which each is entered in the registry, started together before this many
     /// connections to each target.
     pub fn fleet(&self, members: &[Member], connections: u32) -> Vec<Rc<Proxy>> {
-        members.iter().for_each(|it| self.registry.keep(it.clone()));
-        let start = |it: &Member| self.instance_as(it.clone(), with_connections(2, connections));
+        members.iter().for_each(|it| self.registry.insert(it.clone()));
+        let start =
+            |it: &Member| self.instance_as(it.clone(), catalogue_with_connections(2, connections));
         members.iter().map(start).collect()
     }
 
     /// Reads with `caller` until replicas that are made slow are left to the leader.
-    pub async fn slow_replicas(&self, caller: &FakeCaller) {
-        [1, 2].into_iter().for_each(|it| self.group.set(it, Fault::Slow(SLOW_MS)));
+    pub async fn slow_down_replicas(&self, caller: &FakeCaller) {
+        [1, 2].into_iter().for_each(|it| self.group.inject_fault(it, Fault::Slow(SLOW_MS)));
         let started = Instant::now();
-        while started.elapsed() < LEARNT_AFTER || !self.is_read_from_leader() {
-            caller.done("READ slot").await;
+        while started.elapsed() < LEARNT_AFTER || !self.is_last_statement_on_leader() {
+            caller.execute_ok("READ slot").await;
         }
     }
 
     /// Whether the last statement ran on the leader.
-    pub fn is_read_from_leader(&self) -> bool {
-        self.group.ran().last().map(|it| it.member.clone()) == self.group.leader()
+    pub fn is_last_statement_on_leader(&self) -> bool {
+        self.group.executed().last().map(|it| it.member.clone()) == self.group.leader()
     }
 
     /// Tells an instance which targets there are.
-    pub fn list_targets(&self, proxy: &Proxy, revision: u64) {
+    pub fn apply_target_list(&self, proxy: &Proxy, revision: u64) {
         let list = TargetList { revision: Revision::new(0, revision), targets: self.group.specs() };
         proxy.directory.apply_targets(list, self.clock.now());
     }
 
     /// Waits until the instance knows its group's leader.
-    pub async fn settle(&self, proxy: &Rc<Proxy>) {
+    pub async fn wait_for_leader(&self, proxy: &Rc<Proxy>) {
         let proxy = Rc::clone(proxy);
         let leader = self.group.leader();
-        until(3000, "the leader is known", || leader_of(&proxy).as_ref() == leader.as_ref()).await;
+        wait_until(3000, "the leader is known", || leader_of(&proxy).as_ref() == leader.as_ref())
+            .await;
     }
 
     /// Waits until another member than `old` leads, and fails the test if that takes longer than `ms`.
-    pub async fn succeeded(&self, old: &str, ms: u64) {
-        until(ms, "another member leads", || self.group.leader() != Some(old.into())).await;
+    pub async fn wait_for_new_leader(&self, old: &str, ms: u64) {
+        wait_until(ms, "another member leads", || self.group.leader() != Some(old.into())).await;
     }
 
     /// A caller with an open session.
@@ -226,10 +228,10 @@
 }
 
 /// A world with one instance that knows its leader.
-pub async fn settled() -> (World, Rc<Proxy>) {
+pub async fn world_with_instance() -> (World, Rc<Proxy>) {
     let world = World::new();
     let proxy = world.instance(1);
-    world.settle(&proxy).await;
+    world.wait_for_leader(&proxy).await;
     (world, proxy)
 }
 
@@ -249,7 +251,7 @@
 }
 
 /// The usual configuration with this many connections to each member.
-pub fn with_connections(version: u64, connections: u32) -> Catalogue {
+pub fn catalogue_with_connections(version: u64, connections: u32) -> Catalogue {
     let mut catalogue = catalogue(version);
     catalogue.groups.insert(GROUP.into(), GroupLimits { connections });
     catalogue
@@ -259,7 +261,7 @@
     let route = |freshness| Route {
         group: GROUP.into(),
         freshness,
-        statement_ms: STATEMENT_MS,
+        statement_ms: STATEMENT_TIMEOUT_MS,
         objective_ms: 200,
         priority: 1,
         needs_key: true,
@@ -267,13 +269,13 @@
     let routes = [
         (ServiceName::new(LATEST), route(Freshness::Latest)),
         (ServiceName::new(BOUNDED), route(Freshness::MaxAge { ms: MAX_AGE_MS })),
-        (ServiceName::new(OWN), route(Freshness::OwnWrites { max_age_ms: MAX_AGE_MS })),
+        (ServiceName::new(OWN_WRITES), route(Freshness::OwnWrites { max_age_ms: MAX_AGE_MS })),
     ];
     Catalogue {
         version,
         routes: routes.into_iter().collect(),
         groups: [(GroupName::new(GROUP), GroupLimits { connections: 60 })].into_iter().collect(),
-        transaction_idle_ms: TRANSACTION_IDLE_MS,
+        transaction_idle_ms: TRANSACTION_IDLE_TIMEOUT_MS,
         customers: None,
     }
 }
