--- a/crates/gullspar_direct/tests/support/fake_caller.rs
+++ b/crates/gullspar_direct/tests/support/fake_caller.rs
@@ -1,4 +1,4 @@
-//! A caller over channels instead of a connection.
+//! A caller that talks to an instance over channels instead of a connection.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,14 +13,15 @@
     Action, Answer, CallerLink, CallerLinkError, CallerMessage, Definition, FailureCode, Statement,
 };
 
-/// The caller's side.
+/// The caller's end of a session.
 pub struct FakeCaller {
     tx: RefCell<Option<mpsc::UnboundedSender<CallerMessage>>>,
     answers: RefCell<mpsc::UnboundedReceiver<Answer>>,
+    /// Messages that the instance has not read yet.
     unread: Rc<Cell<usize>>,
 }
 
-/// The instance's side.
+/// The instance's end of a session.
 pub struct FakeCallerLink {
     rx: mpsc::UnboundedReceiver<CallerMessage>,
     answers: mpsc::UnboundedSender<Answer>,
@@ -32,11 +33,11 @@
 impl FakeCaller {
     pub fn new() -> (FakeCaller, FakeCallerLink) {
         let (tx, rx) = mpsc::unbounded();
-        let (answers, answered) = mpsc::unbounded();
+        let (answers, answers_rx) = mpsc::unbounded();
         let unread: Rc<Cell<usize>> = Rc::default();
         let caller = FakeCaller {
             tx: RefCell::new(Some(tx)),
-            answers: RefCell::new(answered),
+            answers: RefCell::new(answers_rx),
             unread: Rc::clone(&unread),
         };
         (caller, FakeCallerLink { rx, answers, unread })
@@ -47,6 +48,7 @@
         let _ = self.tx.borrow().as_ref().map(|it| it.unbounded_send(message));
     }
 
+    /// Opens a session, and fails the test if the instance refuses it.
     pub async fn open(&self, service: &str) {
         self.open_with_key(service, None).await;
     }
@@ -57,7 +59,7 @@
         assert_eq!(self.next().await.map(|it| it.result), Some(Ok(None)), "the session opens");
     }
 
-    /// Opens a session that must be refused; gives the code.
+    /// Opens a session that must be refused, and returns the failure code.
     pub async fn open_err(&self, service: &str) -> FailureCode {
         self.open_err_with_key(service, None).await
     }
@@ -72,7 +74,7 @@
     /// Sends a statement without waiting for its answer.
     pub fn send_statement(&self, text: &str) {
         let id = NEXT_ID.fetch_add(1, Ordering::Relaxed).to_string();
-        let action = action(text);
+        let action = parse_action(text);
         self.send(CallerMessage::Statement(Statement {
             id: id.as_str().into(),
             text: text.into(),
@@ -86,36 +88,36 @@
         self.next().await.expect("the session answers")
     }
 
-    /// Sends a statement whose success is expected; gives its rows.
+    /// Runs a statement that must succeed, and returns its rows.
     pub async fn execute_ok(&self, text: &str) -> Vec<String> {
         let answer = self.execute(text).await;
         assert!(answer.result.is_ok(), "{text}: {:?}", answer.result);
         answer.rows.iter().map(ToString::to_string).collect()
     }
 
-    /// Sends a statement that must fail; gives the code.
+    /// Runs a statement that must fail, and returns the failure code.
     pub async fn execute_err(&self, text: &str) -> FailureCode {
         let answer = self.execute(text).await;
         answer.result.expect_err(text).code
     }
 
-    /// The next answer, or `None` when the session is closed.
+    /// Waits for the next answer; `None` if the session was closed.
     pub async fn next(&self) -> Option<Answer> {
         future::poll_fn(|cx| self.answers.borrow_mut().poll_next_unpin(cx)).await
     }
 
-    /// Whether an answer waits to be read.
+    /// Whether an answer has arrived. That answer is discarded.
     pub fn has_answer(&self) -> bool {
         self.answers.borrow_mut().try_recv().is_ok()
     }
 
-    /// Leaves without a word.
+    /// Closes the connection without sending anything.
     pub fn disconnect(&self) {
         self.tx.borrow_mut().take();
     }
 }
 
-fn action(text: &str) -> Action {
+fn parse_action(text: &str) -> Action {
     let words: Vec<&str> = text.splitn(4, ' ').collect();
     match words.as_slice() {
         ["BEGIN"] => Action::Begin { read_only: false },
@@ -136,7 +138,7 @@
             Action::Execute { name: (*name).into(), arguments: rest.join(" ").into() }
         }
         ["DEALLOC", name] => Action::Deallocate { name: (*name).into() },
-        _ => panic!("{text} is no statement"),
+        _ => panic!("invalid statement: {text}"),
     }
 }
 
--- a/crates/gullspar_direct/tests/support/fake_claims.rs
+++ b/crates/gullspar_direct/tests/support/fake_claims.rs
@@ -1,4 +1,4 @@
-//! Claims in memory.
+//! A claim store in memory.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -9,76 +9,77 @@
 use gullspar_direct::{Claim, ClaimError, Claims, CurrentClaim, FencingToken};
 use gullspar_model::{GroupName, InstanceId};
 
-/// The store's objects for claims, with a counter that only grows.
+/// Holds the claim of one group and issues increasing fencing tokens.
 #[derive(Default)]
 pub struct FakeClaims {
-    standing: RefCell<Option<CurrentClaim>>,
+    stored: RefCell<Option<CurrentClaim>>,
+    /// The last token issued.
     counter: Cell<u64>,
-    /// Calls fail without effect.
+    /// Calls from all instances fail without effect.
     pub unavailable: Cell<bool>,
-    /// Instances by number whose calls alone fail without effect.
+    /// Numbers of the instances whose calls fail without effect.
     unavailable_to: RefCell<BTreeSet<u16>>,
-    /// Claims take effect and their answers are lost.
+    /// Claims take effect, but their answers are lost.
     pub loses_answers: Cell<bool>,
     pub calls: Cell<u64>,
 }
 
 impl FakeClaims {
-    /// Puts a claim there as another instance would.
+    /// Stores a claim as another instance would.
     pub fn put(&self, claim: Claim) -> FencingToken {
         self.replace(Some(claim))
     }
 
-    /// Puts something there that is no claim, as another writer might.
+    /// Stores a value that is not a valid claim.
     pub fn put_invalid(&self) -> FencingToken {
         self.replace(None)
     }
 
-    /// The way of instance `number` to the store.
-    pub fn channel(self: &Rc<Self>, number: u16) -> Rc<dyn Claims> {
-        Rc::new(Channel { claims: Rc::clone(self), number })
+    /// The store as instance `number` accesses it.
+    pub fn for_instance(self: &Rc<Self>, number: u16) -> Rc<dyn Claims> {
+        Rc::new(InstanceClaims { claims: Rc::clone(self), number })
     }
 
-    /// Has the store turn instance `number` away.
+    /// Makes all calls of instance `number` fail.
     pub fn make_unavailable_to(&self, number: u16) {
         self.unavailable_to.borrow_mut().insert(number);
     }
 
-    /// The instance that holds the claim, if anybody does.
+    /// The instance that holds the claim, if there is a valid one.
     pub fn holder(&self) -> Option<InstanceId> {
-        Some(self.standing.borrow().as_ref()?.claim.as_ref()?.holder.clone())
+        Some(self.stored.borrow().as_ref()?.claim.as_ref()?.holder.clone())
     }
 
     fn replace(&self, claim: Option<Claim>) -> FencingToken {
         self.counter.set(self.counter.get() + 1);
         let token = FencingToken(self.counter.get());
-        *self.standing.borrow_mut() = Some(CurrentClaim { token, claim });
+        *self.stored.borrow_mut() = Some(CurrentClaim { token, claim });
         token
     }
 }
 
-/// One instance's way to the claims.
-struct Channel {
+/// The claim store as one instance accesses it.
+struct InstanceClaims {
     claims: Rc<FakeClaims>,
     number: u16,
 }
 
-impl Channel {
+impl InstanceClaims {
     fn is_unavailable(&self) -> bool {
         self.claims.unavailable.get() || self.claims.unavailable_to.borrow().contains(&self.number)
     }
 }
 
-impl Claims for Channel {
+impl Claims for InstanceClaims {
     fn current<'a>(
         &'a self,
         _group: &'a GroupName,
     ) -> LocalBoxFuture<'a, Result<Option<CurrentClaim>, ClaimError>> {
         self.claims.calls.set(self.claims.calls.get() + 1);
         let result = if self.is_unavailable() {
-            Err(ClaimError::Refused("away".to_owned()))
+            Err(ClaimError::Refused("unavailable".to_owned()))
         } else {
-            Ok(self.claims.standing.borrow().clone())
+            Ok(self.claims.stored.borrow().clone())
         };
         async move { result }.boxed_local()
     }
@@ -90,11 +91,11 @@
         over: Option<FencingToken>,
     ) -> LocalBoxFuture<'a, Result<FencingToken, ClaimError>> {
         self.claims.calls.set(self.claims.calls.get() + 1);
-        let standing = self.claims.standing.borrow().as_ref().map(|it| it.token);
+        let current_token = self.claims.stored.borrow().as_ref().map(|it| it.token);
         let result = if self.is_unavailable() {
-            Err(ClaimError::Refused("away".to_owned()))
-        } else if standing != over {
-            Err(ClaimError::Taken(standing.unwrap_or(FencingToken(0))))
+            Err(ClaimError::Refused("unavailable".to_owned()))
+        } else if current_token != over {
+            Err(ClaimError::Taken(current_token.unwrap_or(FencingToken(0))))
         } else {
             let token = self.claims.put(claim);
             if self.claims.loses_answers.get() {
--- a/crates/gullspar_direct/tests/support/fake_group.rs
+++ b/crates/gullspar_direct/tests/support/fake_group.rs
@@ -1,4 +1,4 @@
-//! A group of targets in memory: a log, a leader, replicas that lag, and faults.
+//! A group of targets in memory, with a shared log, a leader, replicas and injected faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,12 +11,12 @@
 use super::Fault;
 use super::fake_target::FakeDialer;
 
-/// One statement as a member ran it.
+/// A statement of a caller that a member ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ran {
+pub struct ExecutedStatement {
     pub member: MemberName,
     pub connection: u64,
-    /// For whom the connection was opened.
+    /// The customer that the connection was opened for.
     pub customer: Option<CustomerName>,
     pub text: String,
     /// Session values on the connection, as `name=value`.
@@ -25,54 +25,57 @@
 
 pub(super) struct Member {
     pub(super) name: MemberName,
-    /// How many of the group's commits it has.
-    pub(super) has: Cell<u64>,
-    /// The term that it follows.
+    /// Number of the group's commits in its log.
+    pub(super) replicated_commits: Cell<u64>,
+    /// The term of the newest commit in its log.
     pub(super) term: Cell<u64>,
     pub(super) faults: RefCell<BTreeSet<Fault>>,
     pub(super) leaving: Cell<bool>,
     pub(super) connections: Cell<u32>,
-    /// When its process started.
+    /// Start time of its process, in milliseconds.
     pub(super) started_ms: Cell<u64>,
 }
 
-/// The group.
+/// A group of members named `m0`, `m1` and so on; `m0` leads at first.
 pub struct FakeGroup {
     name: String,
     pub(super) members: Vec<Rc<Member>>,
     leader: Cell<usize>,
     pub(super) term: Cell<u64>,
-    /// Commits of the present log.
+    /// Number of commits in the leader's log.
     commits: Cell<u64>,
-    /// The term of the newest of them; a member that leads a new term shows it only from its first commit on.
+    /// The term of the newest commit. A promotion changes it only with the new leader's first commit.
     newest_commit_term: Cell<u64>,
+    /// Each item's value, and the number of the commit that wrote it.
     pub(super) data: RefCell<BTreeMap<String, (String, u64)>>,
-    pub(super) ran: RefCell<Vec<Ran>>,
+    pub(super) executed: RefCell<Vec<ExecutedStatement>>,
     pub(super) next_connection: Cell<u64>,
-    turn: Cell<u64>,
-    /// Statements that failed.
+    /// Statements run while a member had `Fault::FailsEverySecond`.
+    statement_counter: Cell<u64>,
+    /// Number of callers' statements that failed because of a fault.
     pub failed_statements: Cell<u32>,
-    /// How long a caller's statement takes, in milliseconds.
+    /// Duration of a caller's statement, in milliseconds.
     pub statement_duration_ms: Cell<u64>,
-    /// How long a rollback takes, in milliseconds.
+    /// Duration of a rollback, in milliseconds.
     pub rollback_duration_ms: Cell<u64>,
-    /// Connections that each member takes, if there is a bound.
+    /// Maximum number of connections to each member.
     pub max_connections: Cell<Option<u32>>,
-    /// Connections of instances that are gone, which each member still keeps.
+    /// Connections of stopped instances that each member still holds open.
     pub stale_connections: Cell<u32>,
-    /// How long opening a connection takes, in milliseconds.
+    /// Duration of opening a connection, in milliseconds.
     pub connect_duration_ms: Cell<u64>,
-    /// Connections opened, and those refused for want of room.
+    /// Number of connections opened.
     pub opened_connections: Cell<u32>,
+    /// Number of connections refused because of `max_connections`.
     pub refused_connections: Cell<u32>,
 }
 
 impl FakeGroup {
     pub fn new(name: &str, members: usize) -> Rc<FakeGroup> {
-        let member = |at: usize| {
+        let member = |index: usize| {
             Rc::new(Member {
-                name: MemberName::new(format!("m{at}")),
-                has: Cell::new(0),
+                name: MemberName::new(format!("m{index}")),
+                replicated_commits: Cell::new(0),
                 term: Cell::new(1),
                 faults: RefCell::default(),
                 leaving: Cell::new(false),
@@ -88,9 +91,9 @@
             commits: Cell::new(0),
             newest_commit_term: Cell::new(1),
             data: RefCell::default(),
-            ran: RefCell::default(),
+            executed: RefCell::default(),
             next_connection: Cell::new(1),
-            turn: Cell::new(0),
+            statement_counter: Cell::new(0),
             failed_statements: Cell::new(0),
             statement_duration_ms: Cell::new(1),
             rollback_duration_ms: Cell::new(0),
@@ -107,10 +110,10 @@
     }
 
     pub fn specs(&self) -> Vec<TargetSpec> {
-        let spec = |(at, member): (usize, &Rc<Member>)| TargetSpec {
+        let spec = |(index, member): (usize, &Rc<Member>)| TargetSpec {
             member: member.name.clone(),
             group: self.name.as_str().into(),
-            address: SocketAddr::from(([127, 0, 0, 2], at as u16 + 1)),
+            address: SocketAddr::from(([127, 0, 0, 2], index as u16 + 1)),
             data_centre: "dc-1".into(),
             slots: 4,
             leaving: member.leaving.get(),
@@ -136,92 +139,95 @@
         self.members[member].leaving.set(true);
     }
 
-    /// Has a member stay after all.
+    /// Reverts `mark_leaving`.
     pub fn cancel_leaving(&self, member: usize) {
         self.members[member].leaving.set(false);
     }
 
-    /// Has a member start anew under its name, deaf, with an empty log.
+    /// Restarts a member under the same name with an empty log and stopped replication.
     pub fn restart_with_empty_log(&self, member: usize) {
         let member = &self.members[member];
         member.started_ms.set(member.started_ms.get() + 1);
-        member.has.set(0);
+        member.replicated_commits.set(0);
         member.faults.borrow_mut().insert(Fault::ReplicationStopped);
     }
 
-    /// Has the leader start anew with an empty log, leading all the same.
+    /// Restarts the leader with an empty log. It stays the leader.
     pub fn restart_leader_with_empty_log(&self, member: usize) {
         let started_ms = &self.members[member].started_ms;
         started_ms.set(started_ms.get() + 1);
         self.commits.set(0);
     }
 
-    /// Makes `name` the leader of the next term with the commits that it has.
+    /// Makes `name` the leader of the next term. Commits that it doesn't have are undone.
     pub fn promote(&self, name: &MemberName) {
-        let at = self.members.iter().position(|it| it.name == *name).unwrap();
-        if at == self.leader.get() {
+        let index = self.members.iter().position(|it| it.name == *name).unwrap();
+        if index == self.leader.get() {
             return;
         }
-        let kept = self.members[at].has.get();
-        self.data.borrow_mut().retain(|_, (_, number)| *number <= kept);
-        // One that hears nothing keeps what it has.
-        let hearing = self.members.iter().filter(|it| !self.has(it, Fault::ReplicationStopped));
-        hearing.for_each(|it| it.has.set(it.has.get().min(kept)));
-        self.commits.set(kept);
-        self.leader.set(at);
+        let commits = self.members[index].replicated_commits.get();
+        self.data.borrow_mut().retain(|_, (_, number)| *number <= commits);
+        // A member whose replication is stopped keeps its log.
+        let replicating =
+            self.members.iter().filter(|it| !self.has_fault(it, Fault::ReplicationStopped));
+        replicating
+            .for_each(|it| it.replicated_commits.set(it.replicated_commits.get().min(commits)));
+        self.commits.set(commits);
+        self.leader.set(index);
         self.term.set(self.term.get() + 1);
     }
 
-    /// Makes `name` the leader of the next term, without the newest commit.
+    /// Makes `name` the leader of the next term and undoes the newest commit.
     pub fn promote_without_last(&self, name: &MemberName) {
-        let at = self.members.iter().position(|it| it.name == *name).unwrap();
-        self.members[at].has.set(self.commits.get().saturating_sub(1));
+        let index = self.members.iter().position(|it| it.name == *name).unwrap();
+        self.members[index].replicated_commits.set(self.commits.get().saturating_sub(1));
         self.promote(name);
     }
 
-    /// All statements of callers that ran, in order.
-    pub fn executed(&self) -> Vec<Ran> {
-        self.ran.borrow().clone()
+    /// All callers' statements that succeeded, in the order in which they ran.
+    pub fn executed(&self) -> Vec<ExecutedStatement> {
+        self.executed.borrow().clone()
     }
 
-    /// How many statements with this text ran.
+    /// How many statements with this text succeeded.
     pub fn execution_count(&self, text: &str) -> usize {
-        self.ran.borrow().iter().filter(|it| it.text == text).count()
+        self.executed.borrow().iter().filter(|it| it.text == text).count()
     }
 
+    /// The committed value of an item.
     pub fn value(&self, item: &str) -> Option<String> {
         self.data.borrow().get(item).map(|(value, _)| value.clone())
     }
 
-    /// Connections open to a member.
+    /// Number of open connections to a member.
     pub fn connections(&self, member: usize) -> u32 {
         self.members[member].connections.get()
     }
 
-    pub(super) fn next_turn(&self) -> u64 {
-        self.turn.set(self.turn.get() + 1);
-        self.turn.get()
+    pub(super) fn next_statement_number(&self) -> u64 {
+        self.statement_counter.set(self.statement_counter.get() + 1);
+        self.statement_counter.get()
     }
 
-    pub(super) fn has(&self, member: &Member, fault: Fault) -> bool {
+    pub(super) fn has_fault(&self, member: &Member, fault: Fault) -> bool {
         member.faults.borrow().contains(&fault)
     }
 
-    pub(super) fn leads(&self, member: &Member) -> bool {
+    pub(super) fn is_leader(&self, member: &Member) -> bool {
         self.members[self.leader.get()].name == member.name
     }
 
-    /// What the member's log reaches to.
+    /// The end of the member's log. A member that replicates is first brought up to date.
     pub(super) fn point(&self, member: &Member) -> LogPoint {
-        let deaf = self.has(member, Fault::ReplicationStopped);
-        if self.leads(member) || !deaf {
-            member.has.set(self.commits.get());
+        let is_stopped = self.has_fault(member, Fault::ReplicationStopped);
+        if self.is_leader(member) || !is_stopped {
+            member.replicated_commits.set(self.commits.get());
             member.term.set(self.newest_commit_term.get());
         }
-        LogPoint::new(member.term.get(), member.has.get())
+        LogPoint::new(member.term.get(), member.replicated_commits.get())
     }
 
-    /// Commits in the present term, as another instance would.
+    /// Commits `writes` in the current term.
     pub fn commit(&self, writes: &[(String, String)]) {
         if writes.is_empty() {
             return;
@@ -229,8 +235,8 @@
         self.commits.set(self.commits.get() + 1);
         self.newest_commit_term.set(self.term.get());
         for (item, value) in writes {
-            let kept = (value.clone(), self.commits.get());
-            self.data.borrow_mut().insert(item.clone(), kept);
+            let entry = (value.clone(), self.commits.get());
+            self.data.borrow_mut().insert(item.clone(), entry);
         }
     }
 }
--- a/crates/gullspar_direct/tests/support/fake_peers.rs
+++ b/crates/gullspar_direct/tests/support/fake_peers.rs
@@ -1,4 +1,4 @@
-//! The way between instances, in memory, with links that can be cut.
+//! A network between instances in memory, with links that can be blocked.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,76 +16,82 @@
 
 use super::fake_relay;
 
-/// All instances of a test.
+/// The instances of a test by their address, and the links that are blocked.
 #[derive(Default)]
 pub struct FakeNetwork {
     instances: RefCell<BTreeMap<SocketAddr, Rc<Proxy>>>,
-    cut_off: RefCell<BTreeSet<SocketAddr>>,
-    /// Pairs that can't reach each other.
-    cut_pairs: RefCell<BTreeSet<(SocketAddr, SocketAddr)>>,
+    /// Instances that reach no other instance.
+    partitioned: RefCell<BTreeSet<SocketAddr>>,
+    /// Links that are blocked, as pairs of sender and receiver.
+    blocked_pairs: RefCell<BTreeSet<(SocketAddr, SocketAddr)>>,
+    /// The tasks that serve forwarded sessions.
     sessions: RefCell<Vec<compio::runtime::JoinHandle<()>>>,
 }
 
 impl FakeNetwork {
+    /// Makes an instance reachable under `address`.
     pub fn join(&self, address: SocketAddr, proxy: Rc<Proxy>) {
         self.instances.borrow_mut().insert(address, proxy);
     }
 
-    /// Cuts an instance off from all others.
+    /// Partitions an instance from all others.
     pub fn partition(&self, number: u16) {
-        self.cut_off.borrow_mut().insert(SocketAddr::from(([127, 0, 0, 1], number)));
+        self.partitioned.borrow_mut().insert(SocketAddr::from(([127, 0, 0, 1], number)));
     }
 
-    /// Ends all sessions between instances at once, as when a home dies.
+    /// Drops all sessions between instances without notice, as when a home crashes.
     pub fn drop_sessions(&self) {
         self.sessions.borrow_mut().clear();
     }
 
-    /// Cuts all of `some` from all of `others`.
-    pub fn partition_between(&self, some: &[u16], others: &[u16]) {
-        for one in some {
-            for other in others {
-                self.block_one_way(*one, *other);
-                self.block_one_way(*other, *one);
+    /// Blocks all links between the instances in `left` and those in `right`.
+    pub fn partition_between(&self, left: &[u16], right: &[u16]) {
+        for a in left {
+            for b in right {
+                self.block_one_way(*a, *b);
+                self.block_one_way(*b, *a);
             }
         }
     }
 
-    /// Lets nothing through from `from` to `to`; what goes the other way arrives.
+    /// Blocks messages from `from` to `to`. The opposite direction still works.
     pub fn block_one_way(&self, from: u16, to: u16) {
         let address = |number: u16| SocketAddr::from(([127, 0, 0, 1], number));
-        self.cut_pairs.borrow_mut().insert((address(from), address(to)));
+        self.blocked_pairs.borrow_mut().insert((address(from), address(to)));
     }
 
+    /// Unblocks all links.
     pub fn heal(&self) {
-        self.cut_pairs.borrow_mut().clear();
-        self.cut_off.borrow_mut().clear();
+        self.blocked_pairs.borrow_mut().clear();
+        self.partitioned.borrow_mut().clear();
     }
 
+    /// The network as the instance at `own` accesses it.
     pub fn channel(self: &Rc<Self>, own: SocketAddr) -> Rc<dyn PeerChannel> {
-        Rc::new(Channel { network: Rc::clone(self), own })
+        Rc::new(FakePeerChannel { network: Rc::clone(self), own })
     }
 
-    fn reach(&self, from: SocketAddr, to: SocketAddr) -> Option<Rc<Proxy>> {
-        let cut_off = self.cut_off.borrow();
-        if cut_off.contains(&from) || cut_off.contains(&to) {
+    /// The instance at `to`, if messages from `from` reach it.
+    fn find_reachable(&self, from: SocketAddr, to: SocketAddr) -> Option<Rc<Proxy>> {
+        let partitioned = self.partitioned.borrow();
+        if partitioned.contains(&from) || partitioned.contains(&to) {
             return None;
         }
-        if self.cut_pairs.borrow().contains(&(from, to)) {
+        if self.blocked_pairs.borrow().contains(&(from, to)) {
             return None;
         }
         self.instances.borrow().get(&to).cloned()
     }
 }
 
-struct Channel {
+struct FakePeerChannel {
     network: Rc<FakeNetwork>,
     own: SocketAddr,
 }
 
-impl PeerChannel for Channel {
+impl PeerChannel for FakePeerChannel {
     fn send(&self, to: SocketAddr, message: &PeerMessage) {
-        if let Some(proxy) = self.network.reach(self.own, to) {
+        if let Some(proxy) = self.network.find_reachable(self.own, to) {
             proxy.handle_message(message.clone());
         }
     }
@@ -96,9 +102,9 @@
         req: SnapshotRequest,
         _deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<Snapshot, PeerError>> {
-        let result = match self.network.reach(self.own, from) {
+        let result = match self.network.find_reachable(self.own, from) {
             Some(proxy) => Ok(proxy.snapshot(req)),
-            None => Err(PeerError::NoAnswer("cut".to_owned())),
+            None => Err(PeerError::NoAnswer("link blocked".to_owned())),
         };
         async move { result }.boxed_local()
     }
@@ -106,17 +112,17 @@
     fn open_session(
         &self,
         to: SocketAddr,
-        handed_on: ForwardedSession,
+        session: ForwardedSession,
         _deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<Box<dyn HomeLink>, PeerError>> {
-        let result = match self.network.reach(self.own, to) {
+        let result = match self.network.find_reachable(self.own, to) {
             Some(proxy) => {
                 let (home, relayed) = fake_relay::pair();
-                let served = serve_relayed_caller(proxy, Box::new(relayed), handed_on);
+                let served = serve_relayed_caller(proxy, Box::new(relayed), session);
                 self.network.sessions.borrow_mut().push(compio::runtime::spawn(served));
                 Ok(Box::new(home) as Box<dyn HomeLink>)
             }
-            None => Err(PeerError::NoAnswer("cut".to_owned())),
+            None => Err(PeerError::NoAnswer("link blocked".to_owned())),
         };
         async move { result }.boxed_local()
     }
--- a/crates/gullspar_direct/tests/support/fake_promoter.rs
+++ b/crates/gullspar_direct/tests/support/fake_promoter.rs
@@ -1,4 +1,4 @@
-//! Promotions that take a while to take effect.
+//! A promoter whose promotions take effect after a delay.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,22 +11,24 @@
 
 use super::FakeGroup;
 
-/// An order as it arrived.
+/// An order to promote a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct PromotionOrder {
     pub holder: InstanceId,
     pub member: MemberName,
     pub token: FencingToken,
 }
 
-/// Carries out promotions on a group.
+/// Carries out promotions on a fake group.
 pub struct FakePromoter {
     group: Rc<FakeGroup>,
-    orders: Rc<RefCell<Vec<Order>>>,
-    highest: Rc<Cell<u64>>,
-    /// How long a promotion takes, in milliseconds.
+    /// All orders received, in order of arrival.
+    orders: Rc<RefCell<Vec<PromotionOrder>>>,
+    /// The highest fencing token received. Orders with a lower one are refused.
+    highest_token: Rc<Cell<u64>>,
+    /// Time until a promotion takes effect, in milliseconds.
     pub duration_ms: Cell<u64>,
-    /// The next orders get no answer and are not carried out.
+    /// Number of coming orders that get no answer and are not carried out.
     pub orders_to_ignore: Cell<u32>,
 }
 
@@ -35,13 +37,13 @@
         Rc::new(FakePromoter {
             group,
             orders: Rc::default(),
-            highest: Rc::default(),
+            highest_token: Rc::default(),
             duration_ms: Cell::new(300),
             orders_to_ignore: Cell::new(0),
         })
     }
 
-    pub fn orders(&self) -> Vec<Order> {
+    pub fn orders(&self) -> Vec<PromotionOrder> {
         self.orders.borrow().clone()
     }
 }
@@ -53,21 +55,22 @@
         claim: &'a Claim,
         token: FencingToken,
     ) -> LocalBoxFuture<'a, Result<(), PromoteError>> {
-        let order = Order { holder: claim.holder.clone(), member: claim.member.clone(), token };
+        let order =
+            PromotionOrder { holder: claim.holder.clone(), member: claim.member.clone(), token };
         self.orders.borrow_mut().push(order);
-        if token.0 < self.highest.get() {
+        if token.0 < self.highest_token.get() {
             return async { Err(PromoteError::Superseded) }.boxed_local();
         }
-        self.highest.set(token.0);
+        self.highest_token.set(token.0);
         if self.orders_to_ignore.get() > 0 {
             self.orders_to_ignore.set(self.orders_to_ignore.get() - 1);
             return async { Err(PromoteError::NoAnswer("lost".to_owned())) }.boxed_local();
         }
         let (group, member) = (Rc::clone(&self.group), claim.member.clone());
-        let (highest, takes) = (Rc::clone(&self.highest), self.duration_ms.get());
+        let (highest_token, duration_ms) = (Rc::clone(&self.highest_token), self.duration_ms.get());
         compio::runtime::spawn(async move {
-            compio::time::sleep(Duration::from_millis(takes)).await;
-            if highest.get() == token.0 {
+            compio::time::sleep(Duration::from_millis(duration_ms)).await;
+            if highest_token.get() == token.0 {
                 group.promote(&member);
             }
         })
--- a/crates/gullspar_direct/tests/support/fake_registry.rs
+++ b/crates/gullspar_direct/tests/support/fake_registry.rs
@@ -1,4 +1,4 @@
-//! The registry of instances in memory.
+//! A registry of instances in memory.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,18 +8,18 @@
 use gullspar_direct::{Member, Registry, RegistryError};
 use gullspar_model::InstanceId;
 
-/// Entries that nothing removes.
+/// Keeps every entry for the whole test.
 #[derive(Default)]
 pub struct FakeRegistry {
     entries: RefCell<BTreeMap<InstanceId, Member>>,
-    /// It answers nothing.
+    /// Calls never return.
     pub unresponsive: Cell<bool>,
-    /// Times that an instance was entered.
+    /// Number of calls of `register` that succeeded.
     pub registrations: Cell<u32>,
 }
 
 impl FakeRegistry {
-    /// An entry of an earlier run.
+    /// Adds an entry, as if the instance had registered before the test.
     pub fn insert(&self, member: Member) {
         self.entries.borrow_mut().insert(member.id.clone(), member);
     }
--- a/crates/gullspar_direct/tests/support/fake_relay.rs
+++ b/crates/gullspar_direct/tests/support/fake_relay.rs
@@ -1,4 +1,4 @@
-//! A session between two instances over channels.
+//! A session forwarded between two instances over channels.
 
 use futures::channel::mpsc;
 use futures::future::LocalBoxFuture;
@@ -7,23 +7,24 @@
 use gullspar_direct::{HomeLink, RelayMessage, RelayReply};
 use gullspar_statement::{Answer, CallerLink, CallerLinkError, CallerMessage};
 
-/// The side of the instance that the caller is connected to.
+/// The end at the instance that the caller is connected to.
 pub struct FakeHomeLink {
     tx: mpsc::UnboundedSender<RelayMessage>,
     rx: mpsc::UnboundedReceiver<RelayReply>,
 }
 
-/// The side of the home.
+/// The end at the home.
 pub struct FakeRelayedCaller {
     tx: mpsc::UnboundedSender<RelayReply>,
     rx: mpsc::UnboundedReceiver<RelayMessage>,
 }
 
+/// The two ends of a forwarded session.
 pub fn pair() -> (FakeHomeLink, FakeRelayedCaller) {
-    let (to_home, from_other) = mpsc::unbounded();
-    let (to_other, from_home) = mpsc::unbounded();
+    let (to_home, from_relay) = mpsc::unbounded();
+    let (to_relay, from_home) = mpsc::unbounded();
     let home = FakeHomeLink { tx: to_home, rx: from_home };
-    (home, FakeRelayedCaller { tx: to_other, rx: from_other })
+    (home, FakeRelayedCaller { tx: to_relay, rx: from_relay })
 }
 
 impl HomeLink for FakeHomeLink {
@@ -56,7 +57,7 @@
         &'a mut self,
         answer: &'a Answer,
     ) -> LocalBoxFuture<'a, Result<(), CallerLinkError>> {
-        // The other side may have gone; the session ends with the next message.
+        // If the other end is closed, the next read reports it.
         let _ = self.tx.unbounded_send(RelayReply::Answer(answer.clone()));
         async { Ok(()) }.boxed_local()
     }
--- a/crates/gullspar_direct/tests/support/fake_target.rs
+++ b/crates/gullspar_direct/tests/support/fake_target.rs
@@ -14,7 +14,7 @@
 };
 
 use super::Fault;
-use super::fake_group::{FakeGroup, Member, Ran};
+use super::fake_group::{ExecutedStatement, FakeGroup, Member};
 
 pub(super) struct FakeDialer {
     pub(super) group: Rc<FakeGroup>,
@@ -30,21 +30,22 @@
     ) -> LocalBoxFuture<'a, Result<OpenedTarget, OpenError>> {
         async move {
             let member = self.group.members.iter().find(|it| it.name == spec.member).unwrap();
-            if is_dark(&self.group, member, self.instance) {
+            if is_unresponsive(&self.group, member, self.instance) {
                 compio::time::sleep_until(deadline).await;
-                return Err(OpenError::Unreachable("dark".to_owned()));
+                return Err(OpenError::Unreachable("unresponsive".to_owned()));
             }
-            let full_to = Fault::RefusesConnectionsFrom(self.instance);
-            if self.group.has(member, Fault::RefusesConnections) || self.group.has(member, full_to)
+            let refuses_instance = Fault::RefusesConnectionsFrom(self.instance);
+            if self.group.has_fault(member, Fault::RefusesConnections)
+                || self.group.has_fault(member, refuses_instance)
             {
-                let failure = Failure::new(FailureCode::TooManyConnections, "full");
+                let failure = Failure::new(FailureCode::TooManyConnections, "connections refused");
                 return Err(OpenError::Refused(failure));
             }
             let group = &self.group;
             let held = member.connections.get() + group.stale_connections.get();
-            if group.max_connections.get().is_some_and(|most| held >= most) {
+            if group.max_connections.get().is_some_and(|max| held >= max) {
                 group.refused_connections.set(group.refused_connections.get() + 1);
-                let failure = Failure::new(FailureCode::TooManyConnections, "no room");
+                let failure = Failure::new(FailureCode::TooManyConnections, "maximum reached");
                 return Err(OpenError::Refused(failure));
             }
             group.opened_connections.set(group.opened_connections.get() + 1);
@@ -72,13 +73,14 @@
     }
 }
 
-fn is_dark(group: &FakeGroup, member: &Member, instance: u16) -> bool {
-    group.has(member, Fault::Unresponsive) || group.has(member, Fault::UnresponsiveTo(instance))
+fn is_unresponsive(group: &FakeGroup, member: &Member, instance: u16) -> bool {
+    group.has_fault(member, Fault::Unresponsive)
+        || group.has_fault(member, Fault::UnresponsiveTo(instance))
 }
 
 struct OpenTransaction {
-    /// The term in which it was opened as a plain one; `None` for one that only reads.
-    led: Option<u64>,
+    /// The term in which it was opened; `None` for a read-only transaction.
+    leader_term: Option<u64>,
     writes: Vec<(String, String)>,
     failed: bool,
 }
@@ -109,7 +111,7 @@
         async move {
             let mut answers = Vec::new();
             for command in commands {
-                if is_dark(&self.group, &self.member, self.instance) {
+                if is_unresponsive(&self.group, &self.member, self.instance) {
                     future::pending::<()>().await;
                 }
                 answers.push(self.run(command).await?);
@@ -128,18 +130,18 @@
     async fn run(&mut self, command: TargetCommand) -> Result<Answer, TargetLinkError> {
         let result = match command {
             TargetCommand::Begin => {
-                if self.group.leads(&self.member) {
-                    let led = Some(self.group.term.get());
+                if self.group.is_leader(&self.member) {
+                    let leader_term = Some(self.group.term.get());
                     self.transaction =
-                        Some(OpenTransaction { led, writes: Vec::new(), failed: false });
+                        Some(OpenTransaction { leader_term, writes: Vec::new(), failed: false });
                     Ok(None)
                 } else {
                     Err(FailureCode::ReadOnly)
                 }
             }
-            TargetCommand::BeginReadOnly { at_least } => self.reaches(at_least).map(|()| {
+            TargetCommand::BeginReadOnly { at_least } => self.check_point(at_least).map(|()| {
                 self.transaction =
-                    Some(OpenTransaction { led: None, writes: Vec::new(), failed: false });
+                    Some(OpenTransaction { leader_term: None, writes: Vec::new(), failed: false });
                 None
             }),
             TargetCommand::RollBack => {
@@ -183,33 +185,33 @@
         text: &str,
         at_least: Option<LogPoint>,
     ) -> Result<Answer, TargetLinkError> {
-        if self.group.has(&self.member, Fault::Busy) {
+        if self.group.has_fault(&self.member, Fault::Busy) {
             return Ok(self.answer(Vec::new(), Err(FailureCode::Congested)));
         }
-        if let Err(code) = self.reaches(at_least) {
+        if let Err(code) = self.check_point(at_least) {
             return Ok(self.answer(Vec::new(), Err(code)));
         }
-        // A commit that fails is its caller's to know: nothing else can run in its place.
+        // A failed `COMMIT` can't be retried on another member, so these faults don't affect it.
         let may_fail = text != "COMMIT";
-        let half = self.group.has(&self.member, Fault::FailsEverySecond)
+        let fails_now = self.group.has_fault(&self.member, Fault::FailsEverySecond)
             && may_fail
-            && self.group.next_turn().is_multiple_of(2);
-        if half || may_fail && self.group.has(&self.member, Fault::FailsStatements) {
+            && self.group.next_statement_number().is_multiple_of(2);
+        if fails_now || may_fail && self.group.has_fault(&self.member, Fault::FailsStatements) {
             self.group.failed_statements.set(self.group.failed_statements.get() + 1);
             if let Some(open) = &mut self.transaction {
                 open.failed = true;
             }
             return Ok(self.answer(Vec::new(), Err(FailureCode::Failed)));
         }
-        let slow = self.member.faults.borrow().iter().find_map(|it| match it {
+        let slowdown_ms = self.member.faults.borrow().iter().find_map(|it| match it {
             Fault::Slow(ms) => Some(*ms),
             _ => None,
         });
-        let work_ms = self.group.statement_duration_ms.get() + slow.unwrap_or(0);
-        compio::time::sleep(Duration::from_millis(work_ms)).await;
-        let (rows, result) = self.carry_out(text);
+        let total_ms = self.group.statement_duration_ms.get() + slowdown_ms.unwrap_or(0);
+        compio::time::sleep(Duration::from_millis(total_ms)).await;
+        let (rows, result) = self.apply_statement(text);
         if result.is_ok() {
-            self.group.ran.borrow_mut().push(Ran {
+            self.group.executed.borrow_mut().push(ExecutedStatement {
                 member: self.member.name.clone(),
                 connection: self.connection,
                 customer: self.customer.clone(),
@@ -217,23 +219,23 @@
                 values: self.values.iter().map(|(name, value)| format!("{name}={value}")).collect(),
             });
         }
-        if self.group.has(&self.member, Fault::LosesAnswers) {
+        if self.group.has_fault(&self.member, Fault::LosesAnswers) {
             future::pending::<()>().await;
         }
-        if self.group.has(&self.member, Fault::ResetsConnection) {
+        if self.group.has_fault(&self.member, Fault::ResetsConnection) {
             self.broken = true;
             return Err(io::Error::from(io::ErrorKind::ConnectionReset).into());
         }
         Ok(self.answer(rows, result))
     }
 
-    fn carry_out(
+    fn apply_statement(
         &mut self,
         text: &str,
     ) -> (Vec<String>, Result<Option<&'static str>, FailureCode>) {
         let words: Vec<&str> = text.split(' ').collect();
         if let Some(open) = &mut self.transaction
-            && open.led.is_some_and(|term| term != self.group.term.get())
+            && open.leader_term.is_some_and(|term| term != self.group.term.get())
             && !(words[0] == "COMMIT" && open.writes.is_empty())
         {
             open.failed = true;
@@ -249,23 +251,23 @@
                 let item = (words[words.len() - 2].to_owned(), words[words.len() - 1].to_owned());
                 match &mut self.transaction {
                     Some(open) => open.writes.push(item),
-                    None if self.group.leads(&self.member) => self.group.commit(&[item]),
+                    None if self.group.is_leader(&self.member) => self.group.commit(&[item]),
                     None => return (Vec::new(), Err(FailureCode::ReadOnly)),
                 }
                 (Vec::new(), Ok(Some("signature")))
             }
             _ => {
-                let reached = self.group.point(&self.member).position.0;
+                let log_end = self.group.point(&self.member).position.0;
                 let data = self.group.data.borrow();
-                let read =
-                    data.get(words[words.len() - 1]).filter(|(_, number)| *number <= reached);
-                let row = read.map_or("nothing", |(value, _)| value.as_str());
+                let stored =
+                    data.get(words[words.len() - 1]).filter(|(_, number)| *number <= log_end);
+                let row = stored.map_or("nothing", |(value, _)| value.as_str());
                 (vec![row.to_owned()], Ok(Some("signature")))
             }
         }
     }
 
-    fn reaches(&self, at_least: Option<LogPoint>) -> Result<(), FailureCode> {
+    fn check_point(&self, at_least: Option<LogPoint>) -> Result<(), FailureCode> {
         let point = self.group.point(&self.member);
         match at_least {
             Some(wanted) if wanted > point => Err(FailureCode::Behind),
@@ -287,7 +289,7 @@
             rows: rows.into_iter().map(Into::into).collect(),
             result: result
                 .map(|it| it.map(Into::into))
-                .map_err(|code| Failure::new(code, "the member says so")),
+                .map_err(|code| Failure::new(code, "failed on the fake member")),
             status,
             point: Some(self.group.point(&self.member)),
         }
--- a/crates/gullspar_direct/tests/support/fault.rs
+++ b/crates/gullspar_direct/tests/support/fault.rs
@@ -1,28 +1,28 @@
-//! What members of a fake group do wrong.
+//! Faults of the members of a fake group.
 
-/// What a member may do wrong.
+/// A fault that a test injects into a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// It answers nothing.
+    /// It answers no instance.
     Unresponsive,
-    /// It answers nothing to these instances, told by number, from 2 on.
+    /// It doesn't answer the instance with this number.
     UnresponsiveTo(u16),
-    /// It runs callers' statements and their answers are lost.
+    /// It runs callers' statements, but their answers are lost.
     LosesAnswers,
     /// It runs callers' statements and then resets the connection.
     ResetsConnection,
-    /// It refuses callers' statements as too busy.
+    /// It refuses callers' statements as congested.
     Busy,
-    /// It runs callers' statements and they fail; it answers checks.
+    /// Callers' statements fail, except for `COMMIT`; checks succeed.
     FailsStatements,
-    /// The same with every other statement.
+    /// Every second of callers' statements fails, except for `COMMIT`; checks succeed.
     FailsEverySecond,
-    /// It takes no further connections.
+    /// It accepts no new connections.
     RefusesConnections,
-    /// It takes none of this instance, told by number.
+    /// It accepts no new connections from the instance with this number.
     RefusesConnectionsFrom(u16),
     /// Callers' statements take this many milliseconds longer.
     Slow(u64),
-    /// It learns nothing new from the leader.
+    /// It receives no further commits from the leader.
     ReplicationStopped,
 }
--- a/crates/gullspar_direct/tests/support/mod.rs
+++ b/crates/gullspar_direct/tests/support/mod.rs
@@ -1,6 +1,7 @@
-//! Fakes at the borders: a group of targets, callers, claims, promotions and the way between instances.
+//! Fakes of everything an instance talks to: targets, callers, the claim store, the promoter, the registry and
+//! other instances.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses a part")]
+#![allow(dead_code, unused_imports, reason = "each test file uses only some of the items")]
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
 mod fake_caller;
@@ -36,40 +37,41 @@
 
 pub const GROUP: &str = "group-1";
 
-/// Services of the test configuration, one for each class of callers.
+/// Services of the test configuration, one for each kind of freshness.
 pub const LATEST: &str = "bookings";
 pub const BOUNDED: &str = "map";
 pub const OWN_WRITES: &str = "feeds";
 
-/// Greatest age of data in milliseconds for callers of `BOUNDED` and `OWN_WRITES`.
+/// Maximum age of data for callers of `BOUNDED` and `OWN_WRITES`, in milliseconds.
 pub const MAX_AGE_MS: u64 = 1500;
 
-/// Time that one statement may take, in milliseconds.
+/// Timeout of a statement, in milliseconds.
 pub const STATEMENT_TIMEOUT_MS: u64 = 1000;
 
 /// Idle time after which a transaction is rolled back, in milliseconds.
 pub const TRANSACTION_IDLE_TIMEOUT_MS: u64 = 400;
 
-/// How long the last holder of a claim is alone.
+/// How long the last holder of a claim keeps the exclusive right to promote a member.
 pub const CLAIM_LEASE: Duration = Duration::from_millis(1500);
 
-/// The time in which a failed leader is replaced, in milliseconds: two checks without an answer, the views of the
-/// others, a claim, and the 300 ms that the fake promotion takes. Instances also look for 1.5 s after their start.
+/// Time in which a failed leader must be replaced, in milliseconds. Covers two unanswered checks, the views of the
+/// other instances, the claim and the fake promotion, and the first 1.5 s of an instance, in which it replaces no
+/// leader.
 pub const FAILOVER_TIMEOUT_MS: u64 = 5000;
 
-/// How long a target that leaves is given new work.
+/// How long a leaving target still receives new work.
 pub const LEAVING_TARGET_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// How long after their start instances judge leaders, in milliseconds: 1,500, and some for the way there.
-const JUDGE_AFTER_MS: u64 = 1700;
+/// How long an instance must run before it replaces leaders, in milliseconds, with a margin of 200 ms.
+const STARTUP_PERIOD_MS: u64 = 1700;
 
-/// How much longer statements take on replicas that are made slow, in milliseconds.
-const SLOW_MS: u64 = 250;
+/// Additional duration of a statement on a slowed replica, in milliseconds.
+const SLOW_REPLICA_DELAY_MS: u64 = 250;
 
-/// The least time for which they are read from, so that it is learnt that they are slow.
-const LEARNT_AFTER: Duration = Duration::from_secs(3);
+/// How long slowed replicas are read from at least, so that instances learn their latency.
+const LATENCY_LEARNING_PERIOD: Duration = Duration::from_secs(3);
 
-/// Everything around one or more instances.
+/// The fakes that the instances of one test share.
 pub struct World {
     pub group: Rc<FakeGroup>,
     pub claims: Rc<FakeClaims>,
@@ -79,26 +81,27 @@
     pub clock: Rc<dyn Clock>,
 }
 
-/// Runs a test on a runtime of its own.
+/// Runs a test on its own runtime.
 pub fn run<F: Future<Output = ()>>(test: F) {
     compio::runtime::Runtime::new().unwrap().block_on(test);
 }
 
+/// Sleeps for `ms` milliseconds.
 pub async fn pause(ms: u64) {
     compio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Waits until `reached`, and fails the test if that takes longer than `ms`.
-pub async fn wait_until(ms: u64, what: &str, reached: impl Fn() -> bool) {
+/// Waits until `condition` holds, and fails the test after `ms` milliseconds.
+pub async fn wait_until(ms: u64, what: &str, condition: impl Fn() -> bool) {
     let deadline = Instant::now() + Duration::from_millis(ms);
-    while !reached() {
+    while !condition() {
         assert!(Instant::now() < deadline, "{what} within {ms} ms");
         pause(5).await;
     }
 }
 
 impl World {
-    /// A world with a group of three members, the first leading.
+    /// A world with a group of three members, led by the first.
     pub fn new() -> World {
         let group = FakeGroup::new(GROUP, 3);
         World {
@@ -116,7 +119,7 @@
         self.instance_with_seed(number, 1)
     }
 
-    /// An instance that goes by `catalogue`.
+    /// An instance that uses `catalogue`.
     pub fn instance_with_catalogue(&self, number: u16, catalogue: Catalogue) -> Rc<Proxy> {
         self.start(member(number), 1, Some(catalogue))
     }
@@ -126,12 +129,12 @@
         self.start(member(number), 1, None)
     }
 
-    /// An instance that others know as `member`.
+    /// An instance with the identity `member`.
     pub fn instance_as(&self, member: Member, catalogue: Catalogue) -> Rc<Proxy> {
         self.start(member, 1, Some(catalogue))
     }
 
-    /// An instance that is told of the instance `seed` only.
+    /// An instance whose only seed is the instance with the number `seed`.
     pub fn instance_with_seed(&self, number: u16, seed: u16) -> Rc<Proxy> {
         self.start(member(number), seed, Some(catalogue(1)))
     }
@@ -142,7 +145,7 @@
             clock: Rc::clone(&self.clock),
             entropy: Rc::new(SystemEntropy),
             dialer: self.group.dialer(address.port()),
-            claims: self.claims.channel(address.port()),
+            claims: self.claims.for_instance(address.port()),
             promoter: Rc::clone(&self.promoter) as _,
             peers: self.network.channel(address),
             registry: Rc::clone(&self.registry) as _,
@@ -166,18 +169,18 @@
         proxy
     }
 
-    /// Several instances that have looked for long enough to judge a leader.
+    /// Instances `1..=count` that know the leader and have run long enough to replace it.
     pub async fn instances(&self, count: u16) -> Vec<Rc<Proxy>> {
         let proxies: Vec<Rc<Proxy>> = (1..=count).map(|it| self.instance(it)).collect();
         for proxy in &proxies {
             self.wait_for_leader(proxy).await;
         }
-        pause(JUDGE_AFTER_MS).await;
+        pause(STARTUP_PERIOD_MS).await;
         proxies
     }
 
-    /// Instances of a fleet of which each is entered in the registry, started together before this many
-    /// connections to each target.
+    /// Starts an instance for each of `members` at once. All are registered already, and the fleet may open
+    /// `connections` to each target.
     pub fn fleet(&self, members: &[Member], connections: u32) -> Vec<Rc<Proxy>> {
         members.iter().for_each(|it| self.registry.insert(it.clone()));
         let start =
@@ -185,27 +188,29 @@
         members.iter().map(start).collect()
     }
 
-    /// Reads with `caller` until replicas that are made slow are left to the leader.
+    /// Slows the replicas down and reads with `caller` until the leader serves its reads.
     pub async fn slow_down_replicas(&self, caller: &FakeCaller) {
-        [1, 2].into_iter().for_each(|it| self.group.inject_fault(it, Fault::Slow(SLOW_MS)));
+        [1, 2]
+            .into_iter()
+            .for_each(|it| self.group.inject_fault(it, Fault::Slow(SLOW_REPLICA_DELAY_MS)));
         let started = Instant::now();
-        while started.elapsed() < LEARNT_AFTER || !self.is_last_statement_on_leader() {
+        while started.elapsed() < LATENCY_LEARNING_PERIOD || !self.is_last_statement_on_leader() {
             caller.execute_ok("READ slot").await;
         }
     }
 
-    /// Whether the last statement ran on the leader.
+    /// Whether the last statement that succeeded ran on the leader.
     pub fn is_last_statement_on_leader(&self) -> bool {
         self.group.executed().last().map(|it| it.member.clone()) == self.group.leader()
     }
 
-    /// Tells an instance which targets there are.
+    /// Gives an instance the current list of targets as `revision`.
     pub fn apply_target_list(&self, proxy: &Proxy, revision: u64) {
         let list = TargetList { revision: Revision::new(0, revision), targets: self.group.specs() };
         proxy.directory.apply_targets(list, self.clock.now());
     }
 
-    /// Waits until the instance knows its group's leader.
+    /// Waits until an instance knows its group's leader.
     pub async fn wait_for_leader(&self, proxy: &Rc<Proxy>) {
         let proxy = Rc::clone(proxy);
         let leader = self.group.leader();
@@ -213,7 +218,7 @@
             .await;
     }
 
-    /// Waits until another member than `old` leads, and fails the test if that takes longer than `ms`.
+    /// Waits until another member than `old` leads, and fails the test after `ms` milliseconds.
     pub async fn wait_for_new_leader(&self, old: &str, ms: u64) {
         wait_until(ms, "another member leads", || self.group.leader() != Some(old.into())).await;
     }
@@ -227,7 +232,7 @@
     }
 }
 
-/// A world with one instance that knows its leader.
+/// A world with one instance that knows its group's leader.
 pub async fn world_with_instance() -> (World, Rc<Proxy>) {
     let world = World::new();
     let proxy = world.instance(1);
@@ -235,7 +240,7 @@
     (world, proxy)
 }
 
-/// What others know of an instance.
+/// The identity of an instance of this number, as other instances know it.
 pub fn member(number: u16) -> Member {
     Member {
         id: InstanceId::new(format!("instance-{number}")),
@@ -245,18 +250,19 @@
     }
 }
 
-/// The leader that an instance goes by.
+/// The leader that an instance uses.
 pub fn leader_of(proxy: &Proxy) -> Option<gullspar_model::MemberName> {
     proxy.group(&GROUP.into())?.leader().map(|it| it.member)
 }
 
-/// The usual configuration with this many connections to each member.
+/// The default configuration with this maximum of connections to each member.
 pub fn catalogue_with_connections(version: u64, connections: u32) -> Catalogue {
     let mut catalogue = catalogue(version);
     catalogue.groups.insert(GROUP.into(), GroupLimits { connections });
     catalogue
 }
 
+/// The default configuration.
 pub fn catalogue(version: u64) -> Catalogue {
     let route = |freshness| Route {
         group: GROUP.into(),
