--- a/crates/gullspar_operator/src/burn.rs
+++ b/crates/gullspar_operator/src/burn.rs
@@ -1,4 +1,4 @@
-//! Requests by minute, of all instances together.
+//! Requests per minute, summed over all instances.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,15 +8,16 @@
 
 use crate::Operator;
 
-/// How long an instance may take to answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
+/// How long to wait for an instance's answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Operator {
-    /// Asks every instance for its requests by minute and adds them up by service and class.
+    /// Fetches every instance's requests per minute and adds them up by service and class. Instances that don't
+    /// answer in time are left out.
     pub async fn burn(self: &Rc<Self>) -> Vec<BurnSeries> {
         let own = self.fleet.id();
         let borders = self.fleet.borders();
-        let deadline = borders.clock.now() + ANSWER_WITHIN;
+        let deadline = borders.clock.now() + ANSWER_TIMEOUT;
         let others = self
             .fleet
             .instances()
@@ -24,21 +25,22 @@
             .filter(|it| it.id != own && it.state != InstanceState::Dead)
             .map(|it| borders.peers.call(it.peer, PeerRequest::Burn, deadline));
         let answers = futures::future::join_all(others).await;
-        let mut sum = self.own.burn();
+        let mut total = self.own.burn();
         for answer in answers {
             if let Ok(PeerReply::Burn(series)) = answer {
-                series.iter().for_each(|it| add(&mut sum, it));
+                series.iter().for_each(|it| add_series(&mut total, it));
             }
         }
-        sum.sort_by(|one, other| (&one.service, &one.class).cmp(&(&other.service, &other.class)));
-        sum
+        total.sort_by(|one, other| (&one.service, &one.class).cmp(&(&other.service, &other.class)));
+        total
     }
 }
 
-fn add(sum: &mut Vec<BurnSeries>, series: &BurnSeries) {
-    let known = sum.iter_mut().find(|it| it.service == series.service && it.class == series.class);
+fn add_series(total: &mut Vec<BurnSeries>, series: &BurnSeries) {
+    let known =
+        total.iter_mut().find(|it| it.service == series.service && it.class == series.class);
     match known {
         Some(known) => known.add(series),
-        None => sum.push(series.clone()),
+        None => total.push(series.clone()),
     }
 }
--- a/crates/gullspar_operator/src/change.rs
+++ b/crates/gullspar_operator/src/change.rs
@@ -1,16 +1,16 @@
-//! What differs between two configurations.
+//! Differences between two configurations.
 
 use gullspar_model::record;
 use serde_json::Value;
 
 record! {
-    /// One difference, at the place where it stands.
+    /// One difference between two configurations.
     pub struct Change {
-        /// Names from the outside in, joined by dots.
+        /// Path to the value: the field names and array indices from the outermost on, joined by dots.
         pub place: String,
-        /// `None` for something new.
+        /// The old value as JSON; `None` for an added value.
         pub before: Option<String>,
-        /// `None` for something removed.
+        /// The new value as JSON; `None` for a removed value.
         pub after: Option<String>,
     }
 }
@@ -24,9 +24,9 @@
     }
 }
 
-fn compare(place: &str, before: Option<&Value>, after: Option<&Value>, out: &mut Vec<Change>) {
+fn compare(path: &str, before: Option<&Value>, after: Option<&Value>, out: &mut Vec<Change>) {
     let join =
-        |name: &str| if place.is_empty() { name.to_owned() } else { format!("{place}.{name}") };
+        |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match (before, after) {
         (Some(Value::Object(old)), Some(Value::Object(new))) => {
             let mut names: Vec<&String> = old.keys().chain(new.keys()).collect();
@@ -43,7 +43,7 @@
         }
         (old, new) if old == new => {}
         (old, new) => out.push(Change {
-            place: place.to_owned(),
+            place: path.to_owned(),
             before: old.map(Value::to_string),
             after: new.map(Value::to_string),
         }),
--- a/crates/gullspar_operator/src/confirm.rs
+++ b/crates/gullspar_operator/src/confirm.rs
@@ -1,4 +1,4 @@
-//! Carrying out a plan, exactly as it was shown.
+//! Carries out a plan that an operator confirmed.
 
 use std::rc::Rc;
 
@@ -6,14 +6,14 @@
 use gullspar_model::record;
 use quick_error::quick_error;
 
-use crate::operator::{Present, to_value};
+use crate::operator::{StoredService, to_value};
 use crate::{Change, Operator, Plan};
 
 record! {
     /// A plan that was carried out.
     pub struct Confirmed {
         pub service: String,
-        /// The version that is in force from now on, or a later one.
+        /// The version of the configuration that the plan wrote.
         pub version: ObjectVersion,
     }
 }
@@ -22,21 +22,22 @@
     /// Why a plan was not carried out.
     #[derive(Debug)]
     pub enum ConfirmError {
-        /// Its ground has moved; `moved` tells what differs from what it was made against.
+        /// The configuration has changed since the plan was made; `moved` lists the differences between the plan's
+        /// result and the current configuration.
         Moved(version: ObjectVersion, moved: Vec<Change>) {
-            display("the configuration is at version {} and no longer what the plan was made against",
+            display("the configuration changed after the plan was made and is now at version {}",
                 version.0)
         }
-        /// The platform gave no answer, and did not tell afterwards either. Confirming the same plan
-        /// again is safe.
+        /// The platform did not answer, and reading the object back did not show the outcome. It is safe to confirm
+        /// the same plan again.
         Uncertain(reason: String) {
-            display("it is not known whether the plan was carried out: {reason}; confirm it again")
+            display("it is unknown whether the plan was carried out: {reason}; confirm it again")
         }
-        /// The platform refused.
+        /// The platform refused the update.
         Platform(err: PlatformError) {
             display("{err}")
         }
-        /// The plan is not what gullspar would plan for its intent.
+        /// The plan's result is not the one that its intent produces.
         Altered {
             display("the plan was altered after it was made")
         }
@@ -44,20 +45,24 @@
 }
 
 impl Operator {
-    /// Carries `plan` out if the configuration is still what it was made against.
+    /// Carries `plan` out if the configuration is still at the version that the plan is based on.
+    ///
+    /// A plan that was carried out before succeeds again while the object still holds its update.
     pub async fn confirm(self: &Rc<Self>, plan: Plan) -> Result<Confirmed, ConfirmError> {
         let service = plan.intent.service().clone();
-        let present =
-            self.present(&service).await.map_err(|err| ConfirmError::Uncertain(err.to_string()))?;
-        if written_by(&present) == Some(plan.id.as_str()) {
-            // Confirmed before, by somebody whose answer was lost.
-            return Ok(self.take(&plan, present.version));
+        let stored = self
+            .stored_service(&service)
+            .await
+            .map_err(|err| ConfirmError::Uncertain(err.to_string()))?;
+        if written_by(&stored) == Some(plan.id.as_str()) {
+            // An earlier confirmation was carried out, but its answer was lost.
+            return Ok(self.distribute(&plan, stored.version));
         }
-        if present.version != plan.based_on {
-            return Err(moved(&plan, &present));
+        if stored.version != plan.based_on {
+            return Err(configuration_moved(&plan, &stored));
         }
         let mut expected =
-            plan.intent.apply(present.object.as_ref()).map_err(|_| ConfirmError::Altered)?;
+            plan.intent.apply(stored.object.as_ref()).map_err(|_| ConfirmError::Altered)?;
         expected.written_by = plan.id.clone();
         if expected != *plan.result {
             return Err(ConfirmError::Altered);
@@ -65,31 +70,32 @@
         let value = to_value(&plan.result).to_string();
         let platform = &self.fleet.borders().platform;
         match platform.put(&Operator::key(&service), plan.based_on, value).await {
-            Ok(version) => Ok(self.take(&plan, version)),
+            Ok(version) => Ok(self.distribute(&plan, version)),
             Err(PlatformError::Refused(reason)) => {
                 Err(ConfirmError::Platform(PlatformError::Refused(reason)))
             }
-            // After a lost answer, and after a conflict that may be our own earlier attempt, only
-            // the object itself tells whose update it holds.
+            // After a lost answer, or a conflict that an earlier attempt of this plan may have caused, only
+            // the object shows whose update it holds.
             Err(_) => self.read_back(&plan).await,
         }
     }
 
+    /// Determines from the stored object whether the plan was carried out.
     async fn read_back(self: &Rc<Self>, plan: &Plan) -> Result<Confirmed, ConfirmError> {
-        let present = self.present(plan.intent.service()).await;
-        let present = present.map_err(|err| ConfirmError::Uncertain(err.to_string()))?;
-        if written_by(&present) == Some(plan.id.as_str()) {
-            return Ok(self.take(plan, present.version));
+        let stored = self.stored_service(plan.intent.service()).await;
+        let stored = stored.map_err(|err| ConfirmError::Uncertain(err.to_string()))?;
+        if written_by(&stored) == Some(plan.id.as_str()) {
+            return Ok(self.distribute(plan, stored.version));
         }
-        if present.version == plan.based_on {
-            // A delayed update could still arrive, so this is no refusal.
-            return Err(ConfirmError::Uncertain("the update did not arrive so far".to_owned()));
+        if stored.version == plan.based_on {
+            // The update may still arrive later, so the plan is not reported as refused.
+            return Err(ConfirmError::Uncertain("the update has not arrived yet".to_owned()));
         }
-        Err(moved(plan, &present))
+        Err(configuration_moved(plan, &stored))
     }
 
-    /// Puts the confirmed configuration in force here and on all other instances.
-    fn take(&self, plan: &Plan, version: ObjectVersion) -> Confirmed {
+    /// Distributes the confirmed configuration to all instances, including this one.
+    fn distribute(&self, plan: &Plan, version: ObjectVersion) -> Confirmed {
         let service = plan.intent.service();
         let value = to_value(&plan.result).to_string();
         let entry = ConfigEntry { key: Operator::key(service), version, value };
@@ -98,14 +104,14 @@
     }
 }
 
-fn written_by(present: &Present) -> Option<&str> {
-    present.object.as_ref().map(|it| it.written_by.as_str())
+fn written_by(stored: &StoredService) -> Option<&str> {
+    stored.object.as_ref().map(|it| it.written_by.as_str())
 }
 
-/// What stands now against what the plan would have made.
-fn moved(plan: &Plan, present: &Present) -> ConfirmError {
-    let now = present.object.as_ref().map_or(serde_json::Value::Null, to_value);
+/// The error for a configuration that differs from the plan's result.
+fn configuration_moved(plan: &Plan, stored: &StoredService) -> ConfirmError {
+    let now = stored.object.as_ref().map_or(serde_json::Value::Null, to_value);
     let mut moved = Change::between(&to_value(&plan.result), &now);
     moved.retain(|it| it.place != "written_by");
-    ConfirmError::Moved(present.version, moved)
+    ConfirmError::Moved(stored.version, moved)
 }
--- a/crates/gullspar_operator/src/http.rs
+++ b/crates/gullspar_operator/src/http.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP API.
+//! The HTTP API for operators.
 
 use std::rc::Rc;
 
@@ -12,21 +12,22 @@
 
 use crate::{Change, ConfirmError, Intent, Operator, Plan, PlanError};
 
-type Shared = SendWrapper<Rc<Operator>>;
+type SharedOperator = SendWrapper<Rc<Operator>>;
 
 record! {
-    /// Why a call failed.
+    /// The body of the answer to a failed call.
     pub struct Failure {
         pub error: String,
+        /// Why an intent can't be fulfilled.
         pub findings: Vec<String>,
+        /// What changed since the plan was made.
         pub moved: Vec<Change>,
     }
 }
 
 /// The routes of the API.
 ///
-/// Everything runs on the instance's one thread; the wrapper lets the HTTP library, which asks for
-/// `Send`, hold what belongs to it.
+/// All handlers run on the instance's only thread. `SendWrapper` satisfies the `Send` bounds of the HTTP library.
 pub fn router(operator: Rc<Operator>) -> axum::Router {
     axum::Router::new()
         .route("/v1/plans", post(plan))
@@ -37,7 +38,7 @@
         .with_state(SendWrapper::new(operator))
 }
 
-fn failure(
+fn failure_response(
     status: StatusCode,
     error: String,
     findings: Vec<String>,
@@ -46,24 +47,27 @@
     (status, Json(Failure { error, findings, moved })).into_response()
 }
 
-async fn plan(State(operator): State<Shared>, Json(intent): Json<Intent>) -> Response {
+async fn plan(State(operator): State<SharedOperator>, Json(intent): Json<Intent>) -> Response {
     let operator = operator.take();
     SendWrapper::new(async move {
         match operator.plan(intent).await {
             Ok(plan) => Json(plan).into_response(),
             Err(PlanError::Findings(findings)) => {
                 let error = "the intent can't be fulfilled".to_owned();
-                failure(StatusCode::UNPROCESSABLE_ENTITY, error, findings, Vec::new())
-            }
-            Err(err) => {
-                failure(StatusCode::SERVICE_UNAVAILABLE, err.to_string(), Vec::new(), Vec::new())
+                failure_response(StatusCode::UNPROCESSABLE_ENTITY, error, findings, Vec::new())
             }
+            Err(err) => failure_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                err.to_string(),
+                Vec::new(),
+                Vec::new(),
+            ),
         }
     })
     .await
 }
 
-async fn confirm(State(operator): State<Shared>, Json(plan): Json<Plan>) -> Response {
+async fn confirm(State(operator): State<SharedOperator>, Json(plan): Json<Plan>) -> Response {
     let operator = operator.take();
     SendWrapper::new(async move {
         match operator.confirm(plan).await {
@@ -75,29 +79,32 @@
                     ConfirmError::Altered => (StatusCode::UNPROCESSABLE_ENTITY, Vec::new()),
                     _ => (StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
                 };
-                failure(status, text, Vec::new(), moved)
+                failure_response(status, text, Vec::new(), moved)
             }
         }
     })
     .await
 }
 
-async fn status(State(operator): State<Shared>) -> Response {
+async fn status(State(operator): State<SharedOperator>) -> Response {
     let operator = operator.take();
     SendWrapper::new(async move { Json(operator.status().await).into_response() }).await
 }
 
-async fn burn(State(operator): State<Shared>) -> Response {
+async fn burn(State(operator): State<SharedOperator>) -> Response {
     let operator = operator.take();
     SendWrapper::new(async move { Json(operator.burn().await).into_response() }).await
 }
 
-async fn serve_metrics(State(operator): State<Shared>) -> Response {
+async fn serve_metrics(State(operator): State<SharedOperator>) -> Response {
     let operator = operator.take();
     match operator.metrics.page(operator.own.report()) {
         Ok(page) => page.into_response(),
-        Err(err) => {
-            failure(StatusCode::INTERNAL_SERVER_ERROR, err.to_string(), Vec::new(), Vec::new())
-        }
+        Err(err) => failure_response(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            err.to_string(),
+            Vec::new(),
+            Vec::new(),
+        ),
     }
 }
--- a/crates/gullspar_operator/src/intent.rs
+++ b/crates/gullspar_operator/src/intent.rs
@@ -1,4 +1,4 @@
-//! What an operator wants.
+//! Changes that operators ask for.
 
 use gullspar_model::{
     CallerClass, CallerName, CallerSpec, GroupSpec, MemberName, MemberSpec, ServiceName,
@@ -6,30 +6,30 @@
 };
 
 record! {
-    /// One wish about one service.
+    /// A change to one service that an operator asks for.
     #[serde(rename_all = "snake_case", tag = "intent")]
     pub enum Intent {
-        /// A new service in front of a group.
+        /// Creates a service in front of a group.
         CreateService { service: ServiceName, object: Box<ServiceObject> },
-        /// States or changes a class of callers.
+        /// Adds or changes a class of callers.
         SetClass { service: ServiceName, class: String, settings: CallerClass },
         /// Adds a caller or changes its class or password.
         SetCaller { service: ServiceName, caller: CallerName, settings: CallerSpec },
         /// Removes a caller.
         RemoveCaller { service: ServiceName, caller: CallerName },
-        /// Lets a member leave, or takes it back.
+        /// Marks a member as leaving, or reverts that.
         SetLeaving { service: ServiceName, member: MemberName, leaving: bool },
         /// Adds a voting member.
         AddMember { service: ServiceName, member: MemberSpec },
         /// Removes a voting member, which must be leaving.
         RemoveMember { service: ServiceName, member: MemberName },
-        /// Changes what a member bears.
+        /// Changes the limits of a member: its slots and its maximum number of connections.
         SetLimits { service: ServiceName, member: MemberName, slots: u32, connections: u32 },
     }
 }
 
 impl Intent {
-    /// The service that the wish is about.
+    /// The service that the intent applies to.
     pub fn service(&self) -> &ServiceName {
         match self {
             Intent::CreateService { service, .. }
@@ -43,23 +43,27 @@
         }
     }
 
-    /// The configuration after the wish came true, or all that stands against it.
-    pub fn apply(&self, present: Option<&ServiceObject>) -> Result<ServiceObject, Vec<String>> {
+    /// The configuration after the change.
+    ///
+    /// # Errors
+    ///
+    /// Returns all reasons why the intent can't be fulfilled.
+    pub fn apply(&self, current: Option<&ServiceObject>) -> Result<ServiceObject, Vec<String>> {
         if let Intent::CreateService { object, service } = self {
-            return match present {
-                Some(_) => Err(vec![format!("service {service} exists already")]),
-                None => checked((**object).clone()),
+            return match current {
+                Some(_) => Err(vec![format!("service {service} already exists")]),
+                None => validated((**object).clone()),
             };
         }
-        let Some(present) = present else {
+        let Some(current) = current else {
             return Err(vec![format!("there is no service {}", self.service())]);
         };
-        let mut object = present.clone();
-        self.change(&mut object)?;
-        checked(object)
+        let mut object = current.clone();
+        self.apply_to(&mut object)?;
+        validated(object)
     }
 
-    fn change(&self, object: &mut ServiceObject) -> Result<(), Vec<String>> {
+    fn apply_to(&self, object: &mut ServiceObject) -> Result<(), Vec<String>> {
         match self {
             Intent::CreateService { .. } => {}
             Intent::SetClass { class, settings, .. } => {
@@ -95,49 +99,52 @@
     found.ok_or_else(|| vec![format!("there is no member {name}")])
 }
 
-/// Members change one at a time, so that any majority of before meets any majority of after; a member
-/// that leads or serves must be made to leave first.
+/// Removes one member that is leaving.
+///
+/// Members are removed one at a time, so that every old majority overlaps with every new one. A member must leave
+/// first, so that it neither leads nor serves when it is removed.
 fn remove_member(group: &mut GroupSpec, name: &MemberName) -> Result<(), Vec<String>> {
     if !member_mut(group, name)?.leaving {
-        return Err(vec![format!("member {name} must leave before it is removed")]);
+        return Err(vec![format!("member {name} must be leaving before it can be removed")]);
     }
     group.members.retain(|it| it.name != *name);
     Ok(())
 }
 
-fn checked(object: ServiceObject) -> Result<ServiceObject, Vec<String>> {
+/// Returns `object`, or all its invalid settings.
+fn validated(object: ServiceObject) -> Result<ServiceObject, Vec<String>> {
     let mut findings = Vec::new();
     let members = &object.group.members;
     if members.is_empty() {
-        findings.push("group.members: a group needs a member".to_owned());
+        findings.push("group.members: a group needs at least one member".to_owned());
     }
     for (index, member) in members.iter().enumerate() {
-        let place = format!("group.members[{index}] ({})", member.name);
+        let path = format!("group.members[{index}] ({})", member.name);
         if member.slots == 0 {
-            findings.push(format!("{place}.slots: must be at least 1"));
+            findings.push(format!("{path}.slots: must be at least 1"));
         }
         if member.connections < 8 {
-            findings.push(format!("{place}.connections: must be at least 8, six are gullspar's"));
+            findings.push(format!("{path}.connections: must be at least 8, gullspar reserves 6"));
         }
         if members[..index].iter().any(|it| it.name == member.name) {
-            findings.push(format!("{place}: the name is used twice"));
+            findings.push(format!("{path}: duplicate name"));
         }
         if members[..index].iter().any(|it| it.address == member.address) {
-            findings.push(format!("{place}.address: {} is used twice", member.address));
+            findings.push(format!("{path}.address: duplicate address {}", member.address));
         }
     }
     if members.iter().filter(|it| !it.leaving).count() * 2 <= members.len() {
-        findings.push("group.members: a majority would be leaving".to_owned());
+        findings.push("group.members: fewer than half of the members may be leaving".to_owned());
     }
     for (name, class) in &object.classes {
         if class.deadline_ms == 0 {
             findings.push(format!("classes.{name}.deadline_ms: must be at least 1"));
         }
         if class.priority > CallerClass::LOWEST_PRIORITY {
-            findings.push(format!("classes.{name}.priority: must be 0 to 3"));
+            findings.push(format!("classes.{name}.priority: must be between 0 and 3"));
         }
         if class.objective_ppm >= 1_000_000 {
-            findings.push(format!("classes.{name}.objective_ppm: must be under 1000000"));
+            findings.push(format!("classes.{name}.objective_ppm: must be less than 1000000"));
         }
     }
     for (name, caller) in &object.callers {
--- a/crates/gullspar_operator/src/lib.rs
+++ b/crates/gullspar_operator/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' side: intents become plans, confirmed plans become configuration, and status tells
-//! what is in force and what hurts.
+//! The interface for operators: turns intents into plans and confirmed plans into configuration, and reports status
+//! and metrics.
 
 mod burn;
 mod change;
--- a/crates/gullspar_operator/src/metrics.rs
+++ b/crates/gullspar_operator/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by OpenTelemetry, as Prometheus reads them.
+//! Metrics of an instance in the Prometheus text format.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -7,32 +7,32 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{AsyncInstrument, Meter};
 
-/// The report that instruments read; instruments may be read on any thread, the instance's state may not.
+/// The report that the instruments observe. Unlike the instance's state, it may be read on any thread.
 type Snapshot = Arc<Mutex<Option<InstanceReport>>>;
 
-/// The instruments and what they read.
+/// The instruments and the report that they observe.
 pub(crate) struct Metrics {
     snapshot: Snapshot,
     registry: MetricsRegistry,
 }
 
 impl Metrics {
-    /// Makes all instruments.
+    /// Registers all instruments.
     pub(crate) fn new() -> Result<Metrics, MetricsError> {
         let registry = MetricsRegistry::new()?;
         let snapshot = Snapshot::default();
-        instruments(&registry.meter(), &snapshot);
+        register_instruments(&registry.meter(), &snapshot);
         Ok(Metrics { snapshot, registry })
     }
 
-    /// Writes `report` as Prometheus text.
+    /// Formats `report` as Prometheus text.
     pub(crate) fn page(&self, report: InstanceReport) -> Result<String, MetricsError> {
         *self.snapshot.lock().unwrap_or_else(PoisonError::into_inner) = Some(report);
         self.registry.page()
     }
 }
 
-fn instruments(meter: &Meter, snapshot: &Snapshot) {
+fn register_instruments(meter: &Meter, snapshot: &Snapshot) {
     gauge(meter, snapshot, "gullspar_callers", "Callers connected.", |report, observe| {
         observe(report.callers, &[]);
     });
@@ -40,7 +40,7 @@
         meter,
         snapshot,
         "gullspar_live_instances",
-        "Instances that take work.",
+        "Instances that accept work.",
         |report, observe| {
             observe(report.live_instances, &[]);
         },
@@ -49,10 +49,10 @@
         meter,
         snapshot,
         "gullspar_target_connections",
-        "Connections held to a target.",
+        "Open connections to a target.",
         |report, observe| {
-            for it in held(report) {
-                observe(it.connections.into(), &target(it));
+            for it in home_members(report) {
+                observe(it.connections.into(), &target_attributes(it));
             }
         },
     );
@@ -62,8 +62,8 @@
         "gullspar_target_queued",
         "Requests waiting for a target.",
         |report, observe| {
-            for it in held(report) {
-                observe(it.queued.into(), &target(it));
+            for it in home_members(report) {
+                observe(it.queued.into(), &target_attributes(it));
             }
         },
     );
@@ -71,30 +71,30 @@
         meter,
         snapshot,
         "gullspar_target_age_ms",
-        "Most that a target's data is behind.",
+        "Maximum age of a target's data, in milliseconds.",
         |report, observe| {
-            for it in held(report) {
+            for it in home_members(report) {
                 if let Some(age_ms) = it.age_ms {
-                    observe(age_ms, &target(it));
+                    observe(age_ms, &target_attributes(it));
                 }
             }
         },
     );
-    let read = Arc::clone(snapshot);
+    let observed = Arc::clone(snapshot);
     meter
         .u64_observable_counter("gullspar_requests")
         .with_description("Requests by outcome.")
-        .with_callback(move |out| with_report(&read, |report| requests(report, out)))
+        .with_callback(move |out| with_report(&observed, |report| observe_requests(report, out)))
         .build();
-    let read = Arc::clone(snapshot);
+    let observed = Arc::clone(snapshot);
     meter
         .u64_observable_counter("gullspar_reads")
-        .with_description("Reads by the part of their target.")
-        .with_callback(move |out| with_report(&read, |report| reads(report, out)))
+        .with_description("Reads by the role of their target.")
+        .with_callback(move |out| with_report(&observed, |report| observe_reads(report, out)))
         .build();
 }
 
-/// Passes on one value with its attributes.
+/// Records one value with its attributes.
 type Observe<'o> = &'o dyn Fn(u64, &[KeyValue]);
 
 fn gauge(
@@ -122,18 +122,19 @@
     }
 }
 
-fn held(report: &InstanceReport) -> impl Iterator<Item = &MemberReport> {
+/// The members whose connections this instance holds.
+fn home_members(report: &InstanceReport) -> impl Iterator<Item = &MemberReport> {
     report.members.iter().filter(|it| it.home)
 }
 
-fn target(member: &MemberReport) -> [KeyValue; 2] {
+fn target_attributes(member: &MemberReport) -> [KeyValue; 2] {
     [
         KeyValue::new("group", member.group.to_string()),
         KeyValue::new("member", member.member.to_string()),
     ]
 }
 
-fn requests(report: &InstanceReport, out: &dyn AsyncInstrument<u64>) {
+fn observe_requests(report: &InstanceReport, out: &dyn AsyncInstrument<u64>) {
     for it in &report.outcomes {
         let outcomes = [
             ("done", it.done),
@@ -142,20 +143,24 @@
             ("unknown", it.unknown),
         ];
         for (outcome, count) in outcomes {
-            out.observe(count, &class(it, "outcome", outcome));
+            out.observe(count, &class_attributes(it, "outcome", outcome));
         }
     }
 }
 
-fn reads(report: &InstanceReport, out: &dyn AsyncInstrument<u64>) {
+fn observe_reads(report: &InstanceReport, out: &dyn AsyncInstrument<u64>) {
     for it in &report.outcomes {
         for (role, count) in [("replica", it.replica_reads), ("primary", it.primary_reads)] {
-            out.observe(count, &class(it, "role", role));
+            out.observe(count, &class_attributes(it, "role", role));
         }
     }
 }
 
-fn class(count: &OutcomeCount, name: &'static str, value: &'static str) -> [KeyValue; 3] {
+fn class_attributes(
+    count: &OutcomeCount,
+    name: &'static str,
+    value: &'static str,
+) -> [KeyValue; 3] {
     [
         KeyValue::new("service", count.service.clone()),
         KeyValue::new("class", count.class.clone()),
--- a/crates/gullspar_operator/src/operator.rs
+++ b/crates/gullspar_operator/src/operator.rs
@@ -1,4 +1,4 @@
-//! Plans and carries out what operators want.
+//! Access to the stored configuration, and planning of changes.
 
 use std::rc::Rc;
 
@@ -10,60 +10,73 @@
 use crate::metrics::Metrics;
 use crate::{Change, Intent, Plan, PlanError};
 
-/// The configuration of a service as the platform has it.
-pub(crate) struct Present {
+/// The configuration of a service as the platform stores it. Version 0 without an object if there is none.
+pub(crate) struct StoredService {
     pub(crate) version: ObjectVersion,
     pub(crate) object: Option<ServiceObject>,
 }
 
-/// What answers operators on one instance.
+/// Answers operators' requests on one instance.
 pub struct Operator {
     pub(crate) fleet: Rc<Fleet>,
     pub(crate) own: Rc<dyn OwnReports>,
     pub(crate) metrics: Metrics,
 }
 
-/// What an instance reports of itself.
+/// Reports of an instance on itself.
 pub trait OwnReports {
     /// Its state and counts.
     fn report(&self) -> InstanceReport;
 
-    /// Its requests by minute.
+    /// Its requests per minute.
     fn burn(&self) -> Vec<BurnSeries>;
 }
 
 impl Operator {
-    /// An operator side that reports on its own instance through `own`.
+    /// Creates the operator API of one instance, which reports on itself through `own`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the metrics can't be set up.
     pub fn new(fleet: Rc<Fleet>, own: Rc<dyn OwnReports>) -> Result<Rc<Operator>, MetricsError> {
         Ok(Rc::new(Operator { fleet, own, metrics: Metrics::new()? }))
     }
 
+    /// The key of a service's object on the platform.
     pub(crate) fn key(service: &ServiceName) -> String {
         format!("{}{service}", ServiceObject::PREFIX)
     }
 
-    /// Reads the present configuration from the platform itself: what is in force here may be
-    /// older, and a plan against it could never be confirmed.
-    pub(crate) async fn present(&self, service: &ServiceName) -> Result<Present, PlatformError> {
-        let stored = self.fleet.borders().platform.get(&Operator::key(service)).await?;
-        let Some(stored) = stored else {
-            return Ok(Present { version: ObjectVersion::default(), object: None });
+    /// Reads the configuration from the platform. The one in force on this instance may be older, and a plan
+    /// based on it could never be confirmed.
+    pub(crate) async fn stored_service(
+        &self,
+        service: &ServiceName,
+    ) -> Result<StoredService, PlatformError> {
+        let found = self.fleet.borders().platform.get(&Operator::key(service)).await?;
+        let Some(versioned) = found else {
+            return Ok(StoredService { version: ObjectVersion::default(), object: None });
         };
-        let object = serde_json::from_str(&stored.value)
-            .map_err(|err| PlatformError::Refused(format!("the object is unreadable: {err}")))?;
-        Ok(Present { version: stored.version, object: Some(object) })
+        let object = serde_json::from_str(&versioned.value).map_err(|err| {
+            PlatformError::Refused(format!("the stored configuration can't be parsed: {err}"))
+        })?;
+        Ok(StoredService { version: versioned.version, object: Some(object) })
     }
 
-    /// Plans what fulfilling `intent` would change. Nothing happens by it.
+    /// Plans the change that `intent` asks for, without changing anything.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the intent can't be fulfilled, or if the platform can't be read.
     pub async fn plan(&self, intent: Intent) -> Result<Plan, PlanError> {
-        let present = self.present(intent.service()).await?;
-        let mut result = intent.apply(present.object.as_ref()).map_err(PlanError::Findings)?;
+        let stored = self.stored_service(intent.service()).await?;
+        let mut result = intent.apply(stored.object.as_ref()).map_err(PlanError::Findings)?;
         let id = format!("{}-{:016x}", self.fleet.id(), self.fleet.borders().entropy.next_u64());
         result.written_by = id.clone();
-        let before = present.object.as_ref().map_or(serde_json::Value::Null, to_value);
+        let before = stored.object.as_ref().map_or(serde_json::Value::Null, to_value);
         let mut changes = Change::between(&before, &to_value(&result));
         changes.retain(|it| it.place != "written_by");
-        Ok(Plan { id, intent, based_on: present.version, changes, result: Box::new(result) })
+        Ok(Plan { id, intent, based_on: stored.version, changes, result: Box::new(result) })
     }
 }
 
--- a/crates/gullspar_operator/src/plan.rs
+++ b/crates/gullspar_operator/src/plan.rs
@@ -1,4 +1,4 @@
-//! What the system would change to fulfil an intent.
+//! The changes that fulfil an intent.
 
 use gullspar_border::ObjectVersion;
 use gullspar_model::{ServiceObject, record};
@@ -7,28 +7,28 @@
 use crate::{Change, Intent};
 
 record! {
-    /// A plan. It stands by itself: any instance can carry it out, and none keeps it.
+    /// The changes that fulfil an intent. Plans are not stored: a plan is complete, and any instance can carry it out.
     pub struct Plan {
-        /// Tells this plan from another for the same wish.
+        /// Identifies the plan, also among plans for the same intent.
         pub id: String,
         pub intent: Intent,
-        /// The version that the plan was made against; 0 for a service that isn't there.
+        /// The version of the configuration that the plan was made for; 0 if the service doesn't exist.
         pub based_on: ObjectVersion,
         pub changes: Vec<Change>,
-        /// The configuration after the change.
+        /// The configuration after the changes.
         pub result: Box<ServiceObject>,
     }
 }
 
 quick_error! {
-    /// Why there is no plan.
+    /// Why an intent could not be planned.
     #[derive(Debug)]
     pub enum PlanError {
-        /// The intent can't be fulfilled.
+        /// The intent can't be fulfilled, for all these reasons.
         Findings(findings: Vec<String>) {
             display("{}", findings.join("; "))
         }
-        /// The platform did not tell the present configuration.
+        /// The current configuration could not be read from the platform.
         Platform(err: gullspar_border::PlatformError) {
             from()
             display("{err}")
--- a/crates/gullspar_operator/src/status.rs
+++ b/crates/gullspar_operator/src/status.rs
@@ -1,4 +1,4 @@
-//! What is in force where, and what every instance sees.
+//! The configuration in force and the reports of all instances.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,11 +9,11 @@
 
 use crate::Operator;
 
-/// How long an instance may take to report.
-const REPORT_WITHIN: Duration = Duration::from_millis(500);
+/// How long to wait for an instance's report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 record! {
-    /// An instance and its report, if it gave one.
+    /// An instance and its report; `None` if it is dead or did not answer in time.
     pub struct InstanceStatus {
         pub record: InstanceRecord,
         pub report: Option<InstanceReport>,
@@ -31,7 +31,7 @@
 }
 
 record! {
-    /// The whole system as far as this instance can see.
+    /// The status of the whole system as this instance sees it.
     pub struct Status {
         pub services: Vec<ServiceStatus>,
         pub instances: Vec<InstanceStatus>,
@@ -39,7 +39,7 @@
 }
 
 impl Operator {
-    /// Asks every instance for its report.
+    /// Fetches the reports of all instances.
     pub async fn status(self: &Rc<Self>) -> Status {
         let own = self.fleet.id();
         let records = self.fleet.instances();
@@ -51,18 +51,18 @@
                 } else if record.state == InstanceState::Dead {
                     None
                 } else {
-                    self.ask(&record).await
+                    self.fetch_report(&record).await
                 };
                 InstanceStatus { record, report }
             }
         });
         let instances = futures::future::join_all(reports).await;
-        Status { services: services(&instances), instances }
+        Status { services: service_statuses(&instances), instances }
     }
 
-    async fn ask(&self, record: &InstanceRecord) -> Option<InstanceReport> {
+    async fn fetch_report(&self, record: &InstanceRecord) -> Option<InstanceReport> {
         let borders = self.fleet.borders();
-        let deadline = borders.clock.now() + REPORT_WITHIN;
+        let deadline = borders.clock.now() + REPORT_TIMEOUT;
         match borders.peers.call(record.peer, PeerRequest::Report, deadline).await {
             Ok(PeerReply::Report(report)) => Some(*report),
             _ => None,
@@ -70,7 +70,7 @@
     }
 }
 
-fn services(instances: &[InstanceStatus]) -> Vec<ServiceStatus> {
+fn service_statuses(instances: &[InstanceStatus]) -> Vec<ServiceStatus> {
     let reports: Vec<&InstanceReport> =
         instances.iter().filter_map(|it| it.report.as_ref()).collect();
     let mut versions: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
@@ -84,9 +84,9 @@
     let live = instances.iter().filter(|it| it.record.state != InstanceState::Dead).count();
     versions
         .into_iter()
-        .map(|(service, seen)| {
-            let version = seen.iter().copied().max().unwrap_or(0);
-            let in_force_on = seen.iter().filter(|it| **it == version).count() as u64;
+        .map(|(service, reported)| {
+            let version = reported.iter().copied().max().unwrap_or(0);
+            let in_force_on = reported.iter().filter(|it| **it == version).count() as u64;
             ServiceStatus {
                 service: service.to_owned(),
                 version,
