--- a/crates/gullspar_direct/tests/claims.rs
+++ b/crates/gullspar_direct/tests/claims.rs
@@ -8,7 +8,9 @@
 
 use gullspar_direct::Claim;
 use gullspar_model::Term;
-use support::{Fault, LATEST, LEASE, REPLACED_WITHIN, World, leader_of, pause, run, until};
+use support::{
+    CLAIM_LEASE, FAILOVER_TIMEOUT_MS, Fault, LATEST, World, leader_of, pause, run, wait_until,
+};
 
 /// Number of times that an unanswered order is sent with the same token.
 const ORDERS_PER_TOKEN: u32 = 4;
@@ -19,10 +21,10 @@
 fn a_recent_claim_keeps_other_instances_from_promoting() {
     run(async {
         let world = World::new();
-        world.promoter.takes_ms.set(1200);
+        world.promoter.duration_ms.set(1200);
         let _proxies = world.instances(5).await;
-        world.group.set(0, Fault::Dark);
-        world.succeeded("m0", REPLACED_WITHIN).await;
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         pause(500).await;
         let holders: BTreeSet<_> =
             world.promoter.orders().into_iter().map(|it| it.holder).collect();
@@ -38,8 +40,8 @@
         let world = World::new();
         let _proxies = world.instances(2).await;
         world.claims.loses_answers.set(true);
-        world.group.set(0, Fault::Dark);
-        world.succeeded("m0", REPLACED_WITHIN).await;
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         assert_eq!(world.promoter.orders().len(), 1);
     });
 }
@@ -51,9 +53,9 @@
     run(async {
         let world = World::new();
         let _proxies = world.instances(2).await;
-        world.promoter.ignores.set(ORDERS_PER_TOKEN);
-        world.group.set(0, Fault::Dark);
-        world.succeeded("m0", 2 * REPLACED_WITHIN).await;
+        world.promoter.orders_to_ignore.set(ORDERS_PER_TOKEN);
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.wait_for_new_leader("m0", 2 * FAILOVER_TIMEOUT_MS).await;
         let orders = world.promoter.orders();
         let (last, lost) = orders.split_last().unwrap();
         assert!(lost.iter().all(|it| it.token < last.token), "{orders:?}");
@@ -66,11 +68,13 @@
     run(async {
         let world = World::new();
         let _proxies = world.instances(2).await;
-        world.promoter.ignores.set(ORDERS_PER_TOKEN - 1);
-        world.group.set(0, Fault::Dark);
-        until(REPLACED_WITHIN, "a promotion is ordered", || !world.promoter.orders().is_empty())
-            .await;
-        world.succeeded("m0", 600).await;
+        world.promoter.orders_to_ignore.set(ORDERS_PER_TOKEN - 1);
+        world.group.inject_fault(0, Fault::Unresponsive);
+        wait_until(FAILOVER_TIMEOUT_MS, "a promotion is ordered", || {
+            !world.promoter.orders().is_empty()
+        })
+        .await;
+        world.wait_for_new_leader("m0", 600).await;
         let orders = world.promoter.orders();
         assert_eq!(orders.len(), ORDERS_PER_TOKEN as usize);
         assert!(orders.iter().all(|it| *it == orders[0]), "{orders:?}");
@@ -83,15 +87,15 @@
     run(async {
         let world = World::new();
         let proxies = world.instances(2).await;
-        world.claims.away.set(true);
-        world.group.set(0, Fault::Dark);
+        world.claims.unavailable.set(true);
+        world.group.inject_fault(0, Fault::Unresponsive);
         pause(2000).await;
         assert_eq!(world.promoter.orders(), []);
-        world.group.mend(0);
-        until(1000, "the leader is used again", || leader_of(&proxies[0]) == Some("m0".into()))
+        world.group.clear_faults(0);
+        wait_until(1000, "the leader is used again", || leader_of(&proxies[0]) == Some("m0".into()))
             .await;
         pause(200).await;
-        world.caller(&proxies[0], LATEST).await.done("WRITE slot mine").await;
+        world.caller(&proxies[0], LATEST).await.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -111,7 +115,7 @@
             over_term: Term(0),
         });
         // Only instance 1, one of two, sees the leader as unresponsive; instance 2 does not report it.
-        world.group.set(0, Fault::DarkTo(1));
+        world.group.inject_fault(0, Fault::UnresponsiveTo(1));
         pause(1000).await;
         let by_first =
             world.promoter.orders().into_iter().filter(|it| it.holder == "instance-1".into());
@@ -124,10 +128,10 @@
 fn an_invalid_claim_in_the_store_is_replaced() {
     run(async {
         let world = World::new();
-        let garbage = world.claims.put_garbage();
+        let garbage = world.claims.put_invalid();
         let _proxies = world.instances(2).await;
-        world.group.set(0, Fault::Dark);
-        world.succeeded("m0", REPLACED_WITHIN).await;
+        world.group.inject_fault(0, Fault::Unresponsive);
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         assert!(world.promoter.orders()[0].token > garbage);
     });
 }
@@ -140,17 +144,17 @@
         let world = World::new();
         let proxies = world.instances(3).await;
         let announce_leaving = |member: usize, revision: u64| {
-            world.group.leaves(member);
-            proxies.iter().for_each(|it| world.list_targets(it, revision));
+            world.group.mark_leaving(member);
+            proxies.iter().for_each(|it| world.apply_target_list(it, revision));
         };
         announce_leaving(0, 2);
-        world.succeeded("m0", REPLACED_WITHIN).await;
+        world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         let second_leader = world.group.leader().unwrap();
         let holder = world.claims.holder().unwrap();
         let holder_number = (1..=3).find(|it| support::member(*it).id == holder).unwrap();
-        world.claims.turn_away(holder_number);
-        pause(LEASE.as_millis() as u64).await;
+        world.claims.make_unavailable_to(holder_number);
+        pause(CLAIM_LEASE.as_millis() as u64).await;
         announce_leaving(if second_leader == "m1".into() { 1 } else { 2 }, 3);
-        world.succeeded(second_leader.as_str(), REPLACED_WITHIN).await;
+        world.wait_for_new_leader(second_leader.as_str(), FAILOVER_TIMEOUT_MS).await;
     });
 }
--- a/crates/gullspar_direct/tests/customers.rs
+++ b/crates/gullspar_direct/tests/customers.rs
@@ -32,15 +32,18 @@
     for (key, name, limit) in holders {
         customers.add(CustomerName::new(name), [KeyFingerprint::of(key)], *limit);
     }
-    Catalogue { customers: Some(customers), ..support::with_connections(version, connections) }
+    Catalogue {
+        customers: Some(customers),
+        ..support::catalogue_with_connections(version, connections)
+    }
 }
 
 const TWO_CUSTOMERS: [(&str, &str, Option<RateLimit>); 2] =
     [("key-a", "abbey", NO_LIMIT), ("key-b", "barn", NO_LIMIT)];
 
 async fn start_instance(world: &World, catalogue: Catalogue) -> Rc<Proxy> {
-    let proxy = world.instance_with(1, catalogue);
-    world.settle(&proxy).await;
+    let proxy = world.instance_with_catalogue(1, catalogue);
+    world.wait_for_leader(&proxy).await;
     proxy
 }
 
@@ -53,7 +56,7 @@
     let start = |it| world.instance_as(member(it), configuration());
     let proxies: Vec<Rc<Proxy>> = (1..=4).map(start).collect();
     for proxy in &proxies {
-        world.settle(proxy).await;
+        world.wait_for_leader(proxy).await;
     }
     pause(2500).await;
     proxies
@@ -63,7 +66,7 @@
     let (caller, link) = FakeCaller::new();
     let serve = gullspar_direct::serve_caller(Rc::clone(proxy), Box::new(link));
     compio::runtime::spawn(serve).detach();
-    caller.open_with(service, Some(key)).await;
+    caller.open_with_key(service, Some(key)).await;
     caller
 }
 
@@ -71,7 +74,7 @@
     let (caller, link) = FakeCaller::new();
     let serve = gullspar_direct::serve_caller(Rc::clone(proxy), Box::new(link));
     compio::runtime::spawn(serve).detach();
-    caller.opening_refused_with(service, key).await
+    caller.open_err_with_key(service, key).await
 }
 
 /// Guards against serving a caller without a key, or with one that is not in the configuration.
@@ -83,7 +86,7 @@
         for key in [Some("key-c"), None] {
             assert_eq!(refused_at_opening(&proxy, LATEST, key).await, FailureCode::Unauthenticated);
         }
-        assert_eq!(world.group.ran().len(), 0);
+        assert_eq!(world.group.executed().len(), 0);
     });
 }
 
@@ -95,10 +98,10 @@
         let mut catalogue = with_customers(2, 60, &TWO_CUSTOMERS);
         catalogue.routes.get_mut(&BOUNDED.into()).unwrap().needs_key = false;
         let proxy = start_instance(&world, catalogue).await;
-        open_session(&proxy, BOUNDED, "whoever").await.done("READ slot").await;
-        assert_eq!(world.group.ran().last().unwrap().customer, None);
-        open_session(&proxy, BOUNDED, "key-a").await.done("READ slot").await;
-        assert_eq!(world.group.ran().last().unwrap().customer, Some("abbey".into()));
+        open_session(&proxy, BOUNDED, "whoever").await.execute_ok("READ slot").await;
+        assert_eq!(world.group.executed().last().unwrap().customer, None);
+        open_session(&proxy, BOUNDED, "key-a").await.execute_ok("READ slot").await;
+        assert_eq!(world.group.executed().last().unwrap().customer, Some("abbey".into()));
     });
 }
 
@@ -116,11 +119,11 @@
         ];
         for _ in 0..5 {
             for (caller, customer) in &callers {
-                caller.done("BEGIN READ").await;
-                caller.done("READ slot").await;
-                caller.done("COMMIT").await;
-                caller.done("READ slot").await;
-                let ran = world.group.ran();
+                caller.execute_ok("BEGIN READ").await;
+                caller.execute_ok("READ slot").await;
+                caller.execute_ok("COMMIT").await;
+                caller.execute_ok("READ slot").await;
+                let ran = world.group.executed();
                 let last = &ran[ran.len() - 3..];
                 assert!(last.iter().all(|it| it.customer == Some((*customer).into())), "{last:?}");
             }
@@ -137,16 +140,16 @@
         let idle = open_session(&proxy, LATEST, "key-a").await;
         let busy = open_session(&proxy, LATEST, "key-a").await;
         let other = open_session(&proxy, LATEST, "key-b").await;
-        busy.done("BEGIN").await;
-        busy.done("WRITE slot mine").await;
+        busy.execute_ok("BEGIN").await;
+        busy.execute_ok("WRITE slot mine").await;
         proxy.directory.apply_catalogue(with_customers(3, 60, &TWO_CUSTOMERS[1..]));
         for caller in [&idle, &busy] {
-            let answer = caller.say("WRITE slot late").await;
+            let answer = caller.execute("WRITE slot late").await;
             assert_eq!(answer.result.unwrap_err().code, FailureCode::Unauthenticated);
             assert_eq!(answer.status, TransactionStatus::Idle, "no transaction is left open");
             assert!(caller.next().await.is_none(), "the session ends");
         }
-        other.done("WRITE slot theirs").await;
+        other.execute_ok("WRITE slot theirs").await;
         assert_eq!(world.group.value("slot"), Some("theirs".to_owned()));
     });
 }
@@ -159,13 +162,13 @@
         let proxy = start_instance(&world, with_customers(2, 60, &TWO_CUSTOMERS)).await;
         let idle = open_session(&proxy, LATEST, "key-a").await;
         let busy = open_session(&proxy, LATEST, "key-a").await;
-        idle.done("READ slot").await;
-        busy.done("BEGIN").await;
-        busy.done("WRITE slot mine").await;
+        idle.execute_ok("READ slot").await;
+        busy.execute_ok("BEGIN").await;
+        busy.execute_ok("WRITE slot mine").await;
         proxy.directory.apply_catalogue(with_customers(3, 60, &[("key-a", "barn", NO_LIMIT)]));
-        idle.done("READ slot").await;
-        assert_eq!(world.group.ran().last().unwrap().customer, Some("barn".into()));
-        assert_eq!(busy.refused("COMMIT").await, FailureCode::Unauthenticated);
+        idle.execute_ok("READ slot").await;
+        assert_eq!(world.group.executed().last().unwrap().customer, Some("barn".into()));
+        assert_eq!(busy.execute_err("COMMIT").await, FailureCode::Unauthenticated);
         assert_eq!(world.group.value("slot"), None);
     });
 }
@@ -177,14 +180,14 @@
         let world = World::new();
         let catalogue = || with_customers(2, FEW_CONNECTIONS, &TWO_CUSTOMERS);
         let proxies: Vec<Rc<Proxy>> =
-            (1..=8).map(|it| world.instance_with(it, catalogue())).collect();
+            (1..=8).map(|it| world.instance_with_catalogue(it, catalogue())).collect();
         pause(6000).await;
         let non_home = proxies.iter().find(|it| it.groups().is_empty()).unwrap();
         let caller = open_session(non_home, LATEST, "key-a").await;
-        caller.done("WRITE slot mine").await;
-        assert_eq!(world.group.ran().last().unwrap().customer, Some("abbey".into()));
+        caller.execute_ok("WRITE slot mine").await;
+        assert_eq!(world.group.executed().last().unwrap().customer, Some("abbey".into()));
         non_home.directory.apply_catalogue(with_customers(3, FEW_CONNECTIONS, &TWO_CUSTOMERS[1..]));
-        assert_eq!(caller.refused("WRITE slot late").await, FailureCode::Unauthenticated);
+        assert_eq!(caller.execute_err("WRITE slot late").await, FailureCode::Unauthenticated);
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()));
     });
 }
@@ -204,7 +207,7 @@
         let (mut ran, mut refused) = (0, 0);
         while started.elapsed().as_millis() < 2000 {
             let sent_at = Instant::now();
-            match caller.say("READ slot").await.result {
+            match caller.execute("READ slot").await.result {
                 Ok(_) => ran += 1,
                 Err(failure) => {
                     assert_eq!(failure.code, FailureCode::Congested);
@@ -217,9 +220,9 @@
         }
         assert!((40..=52).contains(&ran), "{ran} of 20 a second and a burst of 10 ran in 2 s");
         assert!(refused > 0);
-        let reads = world.group.ran().iter().filter(|it| it.text == "READ slot").count();
+        let reads = world.group.executed().iter().filter(|it| it.text == "READ slot").count();
         assert_eq!(reads, ran, "refused operations did not run");
-        other.done("READ slot").await;
+        other.execute_ok("READ slot").await;
     });
 }
 
@@ -233,21 +236,21 @@
         pause(9000).await;
         let caller = open_session(&proxy, LATEST, "key-a").await;
         for _ in 0..2 {
-            caller.done("BEGIN").await;
+            caller.execute_ok("BEGIN").await;
             for _ in 0..6 {
-                caller.done("READ slot").await;
+                caller.execute_ok("READ slot").await;
             }
-            caller.done("COMMIT").await;
+            caller.execute_ok("COMMIT").await;
         }
         let mut refused = false;
         for _ in 0..4 {
-            caller.done("BEGIN").await;
-            let answer = caller.say("WRITE slot late").await;
+            caller.execute_ok("BEGIN").await;
+            let answer = caller.execute("WRITE slot late").await;
             if answer.result.is_err() {
                 assert_eq!(answer.status, TransactionStatus::Failed);
                 refused = true;
             }
-            caller.done("ROLLBACK").await;
+            caller.execute_ok("ROLLBACK").await;
         }
         assert!(refused, "of six transactions four may run at once");
     });
@@ -260,14 +263,14 @@
         let world = World::new();
         let holders = [("key-a", "abbey", limit(40, 10))];
         let proxies = four_instances(&world, &holders).await;
-        let before = world.group.ran().len();
+        let before = world.group.executed().len();
         let mut tasks = Vec::new();
         for proxy in &proxies {
             let caller = open_session(proxy, LATEST, "key-a").await;
             tasks.push(compio::runtime::spawn(async move {
                 let started = Instant::now();
                 while started.elapsed().as_millis() < 3000 {
-                    if caller.say("READ slot").await.result.is_err() {
+                    if caller.execute("READ slot").await.result.is_err() {
                         pause(10).await;
                     }
                 }
@@ -276,7 +279,7 @@
         for task in tasks {
             let _ = task.await;
         }
-        let ran = world.group.ran().len() - before;
+        let ran = world.group.executed().len() - before;
         assert!((110..=150).contains(&ran), "{ran} of 40 a second and a burst of 10 ran in 3 s");
     });
 }
@@ -290,15 +293,15 @@
         let proxies = four_instances(&world, &holders).await;
         let caller = open_session(&proxies[0], BOUNDED, "key-a").await;
         for _ in 0..40 {
-            caller.done("READ slot").await;
+            caller.execute_ok("READ slot").await;
             pause(20).await;
         }
-        (2..=4).for_each(|it| world.network.cut(it));
+        (2..=4).for_each(|it| world.network.partition(it));
         let (mut served, mut refused, mut slow) = (0, 0, 0);
         let started = Instant::now();
         while started.elapsed().as_millis() < 900 {
             let sent_at = Instant::now();
-            match caller.say("READ slot").await.result {
+            match caller.execute("READ slot").await.result {
                 Ok(_) => served += 1,
                 Err(_) => refused += 1,
             }
--- a/crates/gullspar_direct/tests/homes.rs
+++ b/crates/gullspar_direct/tests/homes.rs
@@ -9,7 +9,7 @@
 use gullspar_direct::{Catalogue, Member, Phase, Proxy, serve_caller};
 use gullspar_model::ServiceName;
 use gullspar_statement::FailureCode;
-use support::{BOUNDED, FakeCaller, LATEST, World, pause, run, until};
+use support::{BOUNDED, FakeCaller, LATEST, World, pause, run, wait_until};
 
 /// Connections to each target that the configuration allows in these tests.
 const CONNECTIONS: u32 = 10;
@@ -28,7 +28,7 @@
 async fn start_instances(world: &World) -> Vec<Rc<Proxy>> {
     let proxies: Vec<Rc<Proxy>> = (1..=INSTANCES).map(|it| world.instance(it)).collect();
     for proxy in &proxies {
-        proxy.directory.apply_catalogue(support::with_connections(2, CONNECTIONS));
+        proxy.directory.apply_catalogue(support::catalogue_with_connections(2, CONNECTIONS));
     }
     pause(6000).await;
     proxies
@@ -57,13 +57,13 @@
         assert!(!homes.is_empty() && homes.len() < proxies.len(), "{} homes", homes.len());
         for (index, proxy) in proxies.iter().enumerate() {
             let caller = world.caller(proxy, LATEST).await;
-            caller.done(&format!("WRITE item{index} x")).await;
-            caller.done("BEGIN").await;
-            assert_eq!(caller.done(&format!("READ item{index}")).await, ["x"]);
-            caller.done("COMMIT").await;
-            caller.done("SET zone east").await;
-            caller.done("PREPARE s READ q").await;
-            caller.done("EXECUTE s a").await;
+            caller.execute_ok(&format!("WRITE item{index} x")).await;
+            caller.execute_ok("BEGIN").await;
+            assert_eq!(caller.execute_ok(&format!("READ item{index}")).await, ["x"]);
+            caller.execute_ok("COMMIT").await;
+            caller.execute_ok("SET zone east").await;
+            caller.execute_ok("PREPARE s READ q").await;
+            caller.execute_ok("EXECUTE s a").await;
         }
         for member in 0..3 {
             let open = world.group.connections(member);
@@ -80,17 +80,19 @@
         let proxies = start_instances(&world).await;
         let homes = homes(&proxies);
         let other = non_home(&proxies);
-        world.group.work_ms.set(150);
+        world.group.statement_duration_ms.set(150);
         let busy = world.caller(other, LATEST).await;
         let idle = world.caller(other, BOUNDED).await;
-        busy.begin_to_say("WRITE slot mine");
+        busy.send_statement("WRITE slot mine");
         pause(30).await;
         homes.iter().for_each(|it| it.shutdown.enter(Phase::ClosingIdle));
         assert!(busy.next().await.unwrap().result.is_ok());
         assert_eq!(busy.next().await, None, "then the session is closed");
         assert_eq!(idle.next().await, None);
-        until(1000, "no session is left", || homes.iter().all(|it| it.shutdown.sessions() == 0))
-            .await;
+        wait_until(1000, "no session is left", || {
+            homes.iter().all(|it| it.shutdown.sessions() == 0)
+        })
+        .await;
     });
 }
 
@@ -101,11 +103,11 @@
         let world = World::new();
         let proxies = start_instances(&world).await;
         let other = non_home(&proxies);
-        world.group.work_ms.set(300);
+        world.group.statement_duration_ms.set(300);
         let caller = world.caller(other, LATEST).await;
-        caller.begin_to_say("WRITE slot mine");
+        caller.send_statement("WRITE slot mine");
         pause(50).await;
-        world.network.break_sessions();
+        world.network.drop_sessions();
         let answer = caller.next().await.unwrap();
         assert_eq!(answer.result.unwrap_err().code, FailureCode::Unknown);
         assert_eq!(caller.next().await, None);
@@ -122,7 +124,7 @@
         pause(100).await;
         let homes = homes(&proxies);
         assert!(!homes.is_empty() && homes.len() < proxies.len(), "{} homes", homes.len());
-        assert_eq!(world.registry.entered.get(), 0, "unchanged entries are not written");
+        assert_eq!(world.registry.registrations.get(), 0, "unchanged entries are not written");
     });
 }
 
@@ -131,12 +133,12 @@
 fn an_unresponsive_registry_does_not_block_the_start() {
     run(async {
         let world = World::new();
-        world.registry.silent.set(true);
+        world.registry.unresponsive.set(true);
         let proxy = world.instance(1);
         let caller = world.caller(&proxy, LATEST).await;
-        until(1500, "the instance is ready", || proxy.is_ready()).await;
-        world.settle(&proxy).await;
-        caller.done("WRITE slot x").await;
+        wait_until(1500, "the instance is ready", || proxy.is_ready()).await;
+        world.wait_for_leader(&proxy).await;
+        caller.execute_ok("WRITE slot x").await;
     });
 }
 
@@ -146,13 +148,14 @@
     run(async {
         let world = World::new();
         for number in 2..=INSTANCES {
-            world.registry.keep(support::member(number));
+            world.registry.insert(support::member(number));
         }
-        let proxy = world.instance_with(1, support::with_connections(2, CONNECTIONS));
-        until(4000, "it serves without the others", || !proxy.groups().is_empty()).await;
-        world.settle(&proxy).await;
+        let proxy =
+            world.instance_with_catalogue(1, support::catalogue_with_connections(2, CONNECTIONS));
+        wait_until(4000, "it serves without the others", || !proxy.groups().is_empty()).await;
+        world.wait_for_leader(&proxy).await;
         let caller = world.caller(&proxy, LATEST).await;
-        caller.done("WRITE slot x").await;
+        caller.execute_ok("WRITE slot x").await;
     });
 }
 
@@ -197,15 +200,15 @@
         let proxies = start_instances(&world).await;
         let index = proxies.iter().position(|it| !it.groups().is_empty()).unwrap();
         let other = non_home(&proxies);
-        world.network.cut(index as u16 + 1);
+        world.network.partition(index as u16 + 1);
         let caller = world.caller(other, LATEST).await;
-        until(1000, "a spare home serves", || homes(&proxies).len() == 2).await;
+        wait_until(1000, "a spare home serves", || homes(&proxies).len() == 2).await;
         let spare_home = proxies
             .iter()
             .enumerate()
             .find(|(it, proxy)| *it != index && !proxy.groups().is_empty());
-        world.settle(spare_home.unwrap().1).await;
-        caller.done("WRITE slot mine").await;
+        world.wait_for_leader(spare_home.unwrap().1).await;
+        caller.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -218,14 +221,14 @@
         let proxy = world.instance_without_configuration(1);
         pause(200).await;
         assert!(proxy.groups().is_empty() && world.group.connections(0) == 0);
-        proxy.directory.apply_catalogue(support::with_connections(2, CONNECTIONS));
-        until(1000, "it serves", || !proxy.groups().is_empty()).await;
+        proxy.directory.apply_catalogue(support::catalogue_with_connections(2, CONNECTIONS));
+        wait_until(1000, "it serves", || !proxy.groups().is_empty()).await;
     });
 }
 
 /// The configuration of the other instances, with `ADDED_SERVICE` added.
 fn with_added_service(version: u64) -> Catalogue {
-    let mut catalogue = support::with_connections(version, CONNECTIONS);
+    let mut catalogue = support::catalogue_with_connections(version, CONNECTIONS);
     let route = catalogue.routes[&ServiceName::new(LATEST)].clone();
     catalogue.routes.insert(ServiceName::new(ADDED_SERVICE), route);
     catalogue
@@ -241,7 +244,7 @@
         let entry = non_home(&proxies);
         entry.directory.apply_catalogue(with_added_service(3));
         // The home learns of the new version by a heartbeat and fetches it.
-        world.caller(entry, ADDED_SERVICE).await.done("WRITE slot mine").await;
+        world.caller(entry, ADDED_SERVICE).await.execute_ok("WRITE slot mine").await;
     });
 }
 
@@ -255,12 +258,12 @@
         let entry = proxies.iter().position(|it| it.groups().is_empty()).unwrap();
         let numbers = 1..=INSTANCES;
         for from in numbers.clone().filter(|it| *it as usize != entry + 1) {
-            numbers.clone().for_each(|to| world.network.cut_one_way(from, to));
+            numbers.clone().for_each(|to| world.network.block_one_way(from, to));
         }
         proxies[entry].directory.apply_catalogue(with_added_service(3));
         let (caller, link) = FakeCaller::new();
         let served = serve_caller(Rc::clone(&proxies[entry]), Box::new(link));
         compio::runtime::spawn(served).detach();
-        assert_eq!(caller.opening_refused(ADDED_SERVICE).await, FailureCode::Congested);
+        assert_eq!(caller.open_err(ADDED_SERVICE).await, FailureCode::Congested);
     });
 }
--- a/crates/gullspar_direct/tests/partitioned_data_centre.rs
+++ b/crates/gullspar_direct/tests/partitioned_data_centre.rs
@@ -9,7 +9,7 @@
 
 use gullspar_direct::{Member, Proxy, serve_caller};
 use gullspar_statement::FailureCode;
-use support::{FakeCaller, Fault, LATEST, World, pause, run, until};
+use support::{FakeCaller, Fault, LATEST, World, pause, run, wait_until};
 
 /// Number of instances: more than are all contacts of each other, and so many that most are home of no group.
 const FLEET: u16 = 15;
@@ -41,7 +41,7 @@
         |number| Member { data_centre: name(number).as_str().into(), ..support::member(number) };
     let members: Vec<Member> = (1..=FLEET).map(member).collect();
     let proxies = world.fleet(&members, CONNECTIONS);
-    until(4000, "all are ready", || proxies.iter().all(|it| it.is_ready())).await;
+    wait_until(4000, "all are ready", || proxies.iter().all(|it| it.is_ready())).await;
     // Instances that are known only from the registry count as expected for three seconds.
     pause(3000).await;
     proxies
@@ -55,10 +55,10 @@
 /// others can reach none.
 fn partition(world: &World, partitioned: &[u16], from_targets: bool) {
     let others: Vec<u16> = (1..=FLEET).filter(|it| !partitioned.contains(it)).collect();
-    world.network.cut_between(partitioned, &others);
+    world.network.partition_between(partitioned, &others);
     let without_targets = if from_targets { partitioned.to_vec() } else { others };
     for member in 0..3 {
-        without_targets.iter().for_each(|it| world.group.set(member, Fault::DarkTo(*it)));
+        without_targets.iter().for_each(|it| world.group.inject_fault(member, Fault::UnresponsiveTo(*it)));
     }
 }
 
@@ -67,7 +67,7 @@
     let (caller, link) = FakeCaller::new();
     compio::runtime::spawn(serve_caller(Rc::clone(proxy), Box::new(link))).detach();
     let started = Instant::now();
-    let code = caller.opening_refused(LATEST).await;
+    let code = caller.open_err(LATEST).await;
     (code, started.elapsed())
 }
 
@@ -89,7 +89,7 @@
         partition(&world, &partitioned, true);
         let all_out_of_rotation =
             || partitioned.iter().all(|it| !instance(&proxies, *it).is_ready());
-        until(
+        wait_until(
             LEAVE_ROTATION_TIMEOUT_MS,
             "all partitioned instances are out of rotation",
             all_out_of_rotation,
@@ -107,10 +107,10 @@
         );
 
         world.network.heal();
-        (0..3).for_each(|it| world.group.mend(it));
-        until(3000, "all are ready again", || proxies.iter().all(|it| it.is_ready())).await;
+        (0..3).for_each(|it| world.group.clear_faults(it));
+        wait_until(3000, "all are ready again", || proxies.iter().all(|it| it.is_ready())).await;
         for number in &partitioned {
-            world.caller(instance(&proxies, *number), LATEST).await.done("WRITE slot mine").await;
+            world.caller(instance(&proxies, *number), LATEST).await.execute_ok("WRITE slot mine").await;
         }
     });
 }
--- a/crates/gullspar_direct/tests/support/fake_registry.rs
+++ b/crates/gullspar_direct/tests/support/fake_registry.rs
@@ -1,4 +1,4 @@
-//! The registry of instances in memory.
+//! A registry of instances in memory.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,30 +8,30 @@
 use gullspar_direct::{Member, Registry, RegistryError};
 use gullspar_model::InstanceId;
 
-/// Entries that nothing removes.
+/// Keeps every entry for the whole test.
 #[derive(Default)]
 pub struct FakeRegistry {
     entries: RefCell<BTreeMap<InstanceId, Member>>,
-    /// It answers nothing.
-    pub silent: Cell<bool>,
-    /// Times that an instance was entered.
-    pub entered: Cell<u32>,
+    /// Calls never return.
+    pub unresponsive: Cell<bool>,
+    /// Number of calls of `register` that succeeded.
+    pub registrations: Cell<u32>,
 }
 
 impl FakeRegistry {
-    /// An entry of an earlier run.
-    pub fn keep(&self, member: Member) {
+    /// Adds an entry, as if the instance had registered before the test.
+    pub fn insert(&self, member: Member) {
         self.entries.borrow_mut().insert(member.id.clone(), member);
     }
 }
 
 impl Registry for FakeRegistry {
     fn register<'a>(&'a self, member: &'a Member) -> LocalBoxFuture<'a, Result<(), RegistryError>> {
-        if self.silent.get() {
+        if self.unresponsive.get() {
             return futures::future::pending().boxed_local();
         }
-        self.entered.set(self.entered.get() + 1);
-        self.keep(member.clone());
+        self.registrations.set(self.registrations.get() + 1);
+        self.insert(member.clone());
         async { Ok(()) }.boxed_local()
     }
 
@@ -40,7 +40,7 @@
     }
 
     fn entries(&self) -> LocalBoxFuture<'_, Result<Vec<Member>, RegistryError>> {
-        if self.silent.get() {
+        if self.unresponsive.get() {
             return futures::future::pending().boxed_local();
         }
         let entries = self.entries.borrow().values().cloned().collect();
--- a/crates/gullspar_direct/tests/updates.rs
+++ b/crates/gullspar_direct/tests/updates.rs
@@ -9,7 +9,7 @@
 
 use gullspar_direct::Proxy;
 use gullspar_model::Revision;
-use support::{World, catalogue, pause, run, until};
+use support::{World, catalogue, pause, run, wait_until};
 
 /// A fleet size at which not all instances follow the store.
 const LARGE_FLEET: u16 = 18;
@@ -24,7 +24,7 @@
 async fn wait_for_membership(world: &World, proxies: &[Rc<Proxy>]) {
     let knows_all =
         |it: &Rc<Proxy>| it.peers.members(world.clock.boot_now()).len() == proxies.len();
-    until(MEMBERSHIP_TIMEOUT, "all know each other", || proxies.iter().all(knows_all)).await;
+    wait_until(MEMBERSHIP_TIMEOUT, "all know each other", || proxies.iter().all(knows_all)).await;
 }
 
 /// Guards against an instance that read an incomplete list right after an outage of the store, does not follow
@@ -39,10 +39,10 @@
         proxies.iter().for_each(|it| it.record_store_answer());
         let follower = proxies.iter().find(|it| it.should_follow_store()).unwrap();
         let other = proxies.iter().find(|it| !it.should_follow_store()).unwrap();
-        world.list_targets(other, 5);
-        world.list_targets(follower, 9);
+        world.apply_target_list(other, 5);
+        world.apply_target_list(follower, 9);
         let is_updated = || other.directory.target_revision() == Revision::new(0, 9);
-        until(UPDATE_TIMEOUT, "it has the follower's list", is_updated).await;
+        wait_until(UPDATE_TIMEOUT, "it has the follower's list", is_updated).await;
     });
 }
 
@@ -54,13 +54,13 @@
         let world = World::new();
         let proxies: Vec<Rc<Proxy>> = (1..=4).map(|it| world.instance(it)).collect();
         pause(UPDATE_TIMEOUT).await;
-        world.network.cut_one_way(4, 1);
-        world.network.cut_one_way(4, 2);
+        world.network.block_one_way(4, 1);
+        world.network.block_one_way(4, 2);
         [0, 1, 2].into_iter().for_each(|it| {
             proxies[it].directory.apply_catalogue(catalogue(7));
         });
         let is_updated = || proxies[3].directory.version() == 7;
-        until(UPDATE_TIMEOUT, "the configuration is there", is_updated).await;
+        wait_until(UPDATE_TIMEOUT, "the configuration is there", is_updated).await;
     });
 }
 
