--- a/crates/gullspar_caller/src/caller_server.rs
+++ b/crates/gullspar_caller/src/caller_server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers.
+//! Serves callers' connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,22 +13,22 @@
 use crate::startup::{self, Opening};
 use crate::{CallerStats, CancelRegistry, Classifier, Router};
 
-/// How long a caller may take to start its session.
-const START_WITHIN: Duration = Duration::from_secs(10);
+/// How long a caller may take to start a session.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a caller may take to close its side.
-const FINISH_WITHIN: Duration = Duration::from_millis(500);
+/// How long to wait for a caller to close its side of the connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How callers are served.
 #[derive(Clone)]
 pub struct CallerSettings {
-    /// Callers connected at once.
+    /// Maximum number of connected callers.
     pub limit: u64,
     /// The key that session tokens are signed with.
     pub token_key: TokenKey,
 }
 
-/// What all sessions of an instance share.
+/// State shared by all sessions of an instance.
 pub struct CallerServer {
     pub(crate) fleet: Rc<Fleet>,
     pub(crate) router: Rc<Router>,
@@ -40,7 +40,7 @@
 }
 
 impl CallerServer {
-    /// A server without callers.
+    /// Creates a server without connections.
     pub fn new(
         fleet: Rc<Fleet>,
         router: Rc<Router>,
@@ -59,40 +59,40 @@
         })
     }
 
-    /// Callers connected now.
+    /// Number of callers connected now.
     pub fn connected(&self) -> u64 {
         self.connected.get()
     }
 
-    /// Serves one caller until it leaves.
+    /// Serves one connection until it ends.
     pub async fn serve(self: Rc<Self>, link: Box<dyn Link>) {
         self.connected.set(self.connected.get() + 1);
         let mut channel = Channel::new(link, Channel::DEFAULT_LIMIT);
-        match self.converse(&mut channel).await {
+        match self.serve_channel(&mut channel).await {
             Ok(()) | Err(WireError::Closed) => {}
-            Err(err) => self.part(&mut channel, &err).await,
+            Err(err) => self.report_error(&mut channel, &err).await,
         }
         let clock = &self.fleet.borders().clock;
-        // The connection ends here in any case; a caller that doesn't close its side is cut off.
-        let _ = within(&**clock, clock.now() + FINISH_WITHIN, channel.finish()).await;
+        // The connection is closed even if the caller does not close its side in time.
+        let _ = within(&**clock, clock.now() + CLOSE_TIMEOUT, channel.finish()).await;
         self.connected.set(self.connected.get() - 1);
     }
 
-    /// Tells a caller why its connection ends, if it still listens.
-    async fn part(&self, channel: &mut Channel, err: &WireError) {
+    /// Sends a protocol error to the caller before its connection is closed.
+    async fn report_error(&self, channel: &mut Channel, err: &WireError) {
         log::info!("G0401 a caller's connection ended: {err}");
         if matches!(err, WireError::Malformed(_) | WireError::TooLarge(..)) {
             let report = ErrorReport::fatal("08P01", err.to_string());
-            // The connection ends either way.
+            // A failure to send changes nothing: the connection is closed anyway.
             let _ = startup::refuse(channel, &report).await;
         }
     }
 
-    async fn converse(self: &Rc<Self>, channel: &mut Channel) -> Result<(), WireError> {
+    async fn serve_channel(self: &Rc<Self>, channel: &mut Channel) -> Result<(), WireError> {
         let clock = Rc::clone(&self.fleet.borders().clock);
-        let deadline = clock.now() + START_WITHIN;
-        let opening = within(&*clock, deadline, startup::open(channel));
-        // Half-open connections would otherwise gather until no caller finds a place.
+        let deadline = clock.now() + STARTUP_TIMEOUT;
+        let opening = within(&*clock, deadline, startup::read_opening(channel));
+        // Without the timeout, connections that never start a session would use up the limit.
         let Ok(opening) = opening.await else { return Ok(()) };
         let request = match opening? {
             Opening::Session(request) => request,
--- a/crates/gullspar_caller/src/caller_sink.rs
+++ b/crates/gullspar_caller/src/caller_sink.rs
@@ -1,17 +1,17 @@
-//! Passes answers to the caller.
+//! Forwards answers to the caller.
 
 use futures::FutureExt;
 use futures::future::LocalBoxFuture;
 use gullspar_target::FrameSink;
 use gullspar_wire::{Channel, Frame, WireError, target};
 
-/// Answers gather up to this size before they are sent, in bytes.
-const GATHER: usize = 8 * 1024;
+/// Answers are buffered up to this size before they are sent, in bytes.
+const FLUSH_BYTES: usize = 8 * 1024;
 
-/// The caller's side of an answer.
+/// Writes an answer to the caller's channel.
 pub(crate) struct CallerSink<'c> {
     channel: &'c mut Channel,
-    /// Whether the caller has been given anything, so that the request can't be tried again.
+    /// Whether any part of an answer was queued for the caller; the request can't be retried then.
     pub(crate) started: bool,
     /// Whether the target answered with an error.
     pub(crate) saw_error: bool,
@@ -32,7 +32,7 @@
             self.started = true;
             self.saw_error |= Frame::any(bytes, target::ERROR);
             self.channel.queue(bytes);
-            if self.channel.queued() >= GATHER {
+            if self.channel.queued() >= FLUSH_BYTES {
                 self.channel.flush().await?;
             }
             Ok(())
--- a/crates/gullspar_caller/src/cancel_registry.rs
+++ b/crates/gullspar_caller/src/cancel_registry.rs
@@ -1,4 +1,4 @@
-//! Cancel requests, which arrive on connections of their own and at any instance.
+//! Cancel requests, which arrive on separate connections and at any instance.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,18 +15,18 @@
     running: CancelSlot,
 }
 
-/// Bits of a process number that count sessions; the others tell the instance.
+/// Low bits of a process number, which number the sessions; the high bits identify the instance.
 const SESSION_BITS: u32 = 16;
 
-/// The sessions of this instance by the process number that they were told.
+/// The sessions of this instance by process number, with what each is running.
 pub struct CancelRegistry {
     fleet: Rc<Fleet>,
     next: Cell<u32>,
     entries: RefCell<HashMap<i32, Entry>>,
 }
 
-/// A session's place in the registry; given up when dropped.
-pub(crate) struct Registered {
+/// A session's entry in the registry; removed when dropped.
+pub(crate) struct CancelRegistration {
     registry: Rc<CancelRegistry>,
     pub(crate) process: i32,
     pub(crate) secret: i32,
@@ -34,19 +34,19 @@
 }
 
 impl CancelRegistry {
-    /// An empty registry.
+    /// Creates an empty registry.
     pub fn new(fleet: Rc<Fleet>) -> Rc<CancelRegistry> {
         Rc::new(CancelRegistry { fleet, next: Cell::new(0), entries: RefCell::default() })
     }
 
-    /// Gives a session its process number and secret.
-    pub(crate) fn register(self: &Rc<Self>, entropy: &dyn Entropy) -> Registered {
-        let mark = instance_mark(self.fleet.id().as_str());
+    /// Registers a session under a new process number and secret.
+    pub(crate) fn register(self: &Rc<Self>, entropy: &dyn Entropy) -> CancelRegistration {
+        let instance = instance_bits(self.fleet.id().as_str());
         let process = loop {
             let number = self.next.get() & ((1 << SESSION_BITS) - 1);
             self.next.set(self.next.get().wrapping_add(1));
-            let process = (mark << SESSION_BITS | number) as i32;
-            // After 65,536 sessions a number comes again; an old session may still hold it.
+            let process = (instance << SESSION_BITS | number) as i32;
+            // Numbers repeat after 65,536 sessions, and an old session may still use one.
             if !self.entries.borrow().contains_key(&process) || self.is_full() {
                 break process;
             }
@@ -55,26 +55,26 @@
         let running = CancelSlot::default();
         let entry = Entry { secret, running: Rc::clone(&running) };
         self.entries.borrow_mut().insert(process, entry);
-        Registered { registry: Rc::clone(self), process, secret, running }
+        CancelRegistration { registry: Rc::clone(self), process, secret, running }
     }
 
     fn is_full(&self) -> bool {
         self.entries.borrow().len() >= 1 << SESSION_BITS
     }
 
-    /// Cancels what the session with this number and secret is running, wherever it is.
+    /// Cancels the running statement of the session with this process number, on any instance.
     ///
-    /// Without the secret a caller could stop the statements of others.
+    /// The secret must match, so that a caller can't cancel the statements of others.
     pub fn cancel(&self, process: i32, secret: i32) {
-        let mark = process as u32 >> SESSION_BITS;
-        if mark == instance_mark(self.fleet.id().as_str()) {
+        let instance = process as u32 >> SESSION_BITS;
+        if instance == instance_bits(self.fleet.id().as_str()) {
             self.cancel_here(process, secret);
             return;
         }
-        // The balancer sends a cancel request to any instance.
+        // The load balancer may have sent the request to another instance than the session's.
         let borders = self.fleet.borders();
         for other in self.fleet.instances() {
-            if instance_mark(other.id.as_str()) == mark && other.can_accept_work() {
+            if instance_bits(other.id.as_str()) == instance && other.can_accept_work() {
                 let deadline = borders.clock.now() + std::time::Duration::from_secs(1);
                 let req = PeerRequest::CancelCaller { process, secret };
                 let call = borders.peers.call(other.peer, req, deadline);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Cancels for a session of this instance.
+    /// Cancels the running statement of a session of this instance.
     pub fn cancel_here(&self, process: i32, secret: i32) {
         let entries = self.entries.borrow();
         let entry = entries.get(&process).filter(|it| it.secret == secret);
@@ -95,20 +95,21 @@
     }
 }
 
-impl Registered {
-    /// Says what a cancel request would have to stop.
-    pub(crate) fn set_running(&self, cancel: Option<Canceller>) {
+impl CancelRegistration {
+    /// Sets what a cancel request calls; `None` while nothing runs.
+    pub(crate) fn set_canceller(&self, cancel: Option<Canceller>) {
         *self.running.borrow_mut() = cancel;
     }
 }
 
-impl Drop for Registered {
+impl Drop for CancelRegistration {
     fn drop(&mut self) {
         self.registry.entries.borrow_mut().remove(&self.process);
     }
 }
 
-fn instance_mark(id: &str) -> u32 {
+/// High bits of an instance's process numbers.
+fn instance_bits(id: &str) -> u32 {
     // Fifteen bits, so that process numbers stay positive.
     gullspar_fleet::weight("gullspar cancel", id) as u32 & 0x7fff
 }
--- a/crates/gullspar_caller/src/classifier.rs
+++ b/crates/gullspar_caller/src/classifier.rs
@@ -1,4 +1,4 @@
-//! Tells what a statement does from its text.
+//! Classifies statements by their text.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,33 +13,33 @@
 use crate::statement::{Statement, StatementKind};
 use crate::statement_visitor::WriteFinder;
 
-/// Texts kept with their classification.
-const CACHE_LIMIT: usize = 4096;
+/// Maximum number of cached classifications.
+const MAX_CACHED_TEXTS: usize = 4096;
 
-/// Longer texts are not kept, so that the cache stays small, in bytes.
-const CACHED_TEXT_LIMIT: usize = 4096;
+/// Longer texts are not cached, in bytes; bounds the memory of the cache.
+const MAX_CACHED_TEXT_BYTES: usize = 4096;
 
-/// Classifies statements and remembers what it found, since callers repeat few texts often.
+/// Classifies statements and caches the results, since callers often repeat the same texts.
 #[derive(Default)]
 pub struct Classifier {
-    known: RefCell<HashMap<Rc<str>, Rc<Statement>>>,
+    cache: RefCell<HashMap<Rc<str>, Rc<Statement>>>,
 }
 
 impl Classifier {
     /// Classifies `sql`.
     pub fn classify(&self, sql: &str) -> Rc<Statement> {
-        if let Some(known) = self.known.borrow().get(sql) {
+        if let Some(known) = self.cache.borrow().get(sql) {
             return Rc::clone(known);
         }
         let statement = Rc::new(classify(sql));
-        if sql.len() <= CACHED_TEXT_LIMIT && statement.request_key.is_none() {
-            let mut known = self.known.borrow_mut();
-            if known.len() >= CACHE_LIMIT {
-                // Texts with values written into them come once each; starting afresh costs the
-                // repeated ones a single parse.
-                known.clear();
+        if sql.len() <= MAX_CACHED_TEXT_BYTES && statement.request_key.is_none() {
+            let mut cache = self.cache.borrow_mut();
+            if cache.len() >= MAX_CACHED_TEXTS {
+                // Texts with literal values seldom repeat; after a clear, each repeated text is
+                // parsed just once more.
+                cache.clear();
             }
-            known.insert(Rc::from(sql), Rc::clone(&statement));
+            cache.insert(Rc::from(sql), Rc::clone(&statement));
         }
         statement
     }
@@ -55,9 +55,9 @@
 }
 
 fn kind_of(sql: &str) -> StatementKind {
-    // What the parser does not understand may do anything, so it goes to the primary as it stands.
+    // Text that can't be parsed may write, so it runs on the primary unchanged.
     let Ok(statements) = Parser::parse_sql(&PostgreSqlDialect {}, sql) else {
-        return by_first_word(sql);
+        return kind_by_first_word(sql);
     };
     match statements.as_slice() {
         [] => StatementKind::Data(Access::Read),
@@ -65,12 +65,12 @@
         several => {
             let reads =
                 several.iter().all(|it| kind_of_single(it) == StatementKind::Data(Access::Read));
-            if reads { StatementKind::Data(Access::Read) } else { script(several) }
+            if reads { StatementKind::Data(Access::Read) } else { kind_of_script(several) }
         }
     }
 }
 
-fn script(statements: &[ast::Statement]) -> StatementKind {
+fn kind_of_script(statements: &[ast::Statement]) -> StatementKind {
     for statement in statements {
         match kind_of_single(statement) {
             StatementKind::Refused(why) => return StatementKind::Refused(why),
@@ -125,7 +125,7 @@
     }
 }
 
-fn by_first_word(sql: &str) -> StatementKind {
+fn kind_by_first_word(sql: &str) -> StatementKind {
     let word: String = sql.trim_start().chars().take_while(char::is_ascii_alphabetic).collect();
     match word.to_ascii_uppercase().as_str() {
         "COPY" => StatementKind::Refused("COPY is not supported; use INSERT or SELECT"),
--- a/crates/gullspar_caller/src/lane_pool.rs
+++ b/crates/gullspar_caller/src/lane_pool.rs
@@ -1,4 +1,4 @@
-//! Lanes that no session is using.
+//! Pool of idle lanes.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,28 +9,28 @@
 use gullspar_target::{Lane, Lanes};
 use gullspar_wire::WireError;
 
-/// Idle lanes kept to one home.
-const IDLE_LIMIT: usize = 64;
+/// Maximum number of idle lanes per home.
+const MAX_IDLE_LANES: usize = 64;
 
 /// Lanes shared by all sessions of this instance, by home.
 ///
-/// A lane costs memory at both ends. Shared, their number follows the statements in flight and not
-/// the callers connected.
+/// Sharing bounds the number of lanes by the statements in flight instead of the connected callers,
+/// since each lane takes memory at both ends.
 pub struct LanePool {
     lanes: Rc<Lanes>,
     idle: RefCell<HashMap<InstanceId, Vec<Box<dyn Lane>>>>,
-    /// When each home last answered anything.
-    heard_at: RefCell<HashMap<InstanceId, Instant>>,
+    /// Time of each home's last answer.
+    last_answer_at: RefCell<HashMap<InstanceId, Instant>>,
 }
 
 impl LanePool {
-    /// A pool that opens lanes through `lanes`.
+    /// Creates a pool that opens lanes through `lanes`.
     pub fn new(lanes: Rc<Lanes>) -> Rc<LanePool> {
-        Rc::new(LanePool { lanes, idle: RefCell::default(), heard_at: RefCell::default() })
+        Rc::new(LanePool { lanes, idle: RefCell::default(), last_answer_at: RefCell::default() })
     }
 
-    /// A lane to `home`.
-    pub(crate) async fn take(
+    /// Returns an idle lane to `home`, or opens one.
+    pub(crate) async fn acquire(
         &self,
         home: &InstanceRecord,
         deadline: Instant,
@@ -42,27 +42,27 @@
         }
     }
 
-    /// Notes that `home` answered.
-    pub(crate) fn heard(&self, home: &InstanceId, now: Instant) {
-        let mut heard_at = self.heard_at.borrow_mut();
-        match heard_at.get_mut(home) {
+    /// Records that `home` answered at `now`.
+    pub(crate) fn record_answer(&self, home: &InstanceId, now: Instant) {
+        let mut last_answer_at = self.last_answer_at.borrow_mut();
+        match last_answer_at.get_mut(home) {
             Some(at) => *at = now,
             None => {
-                heard_at.insert(home.clone(), now);
+                last_answer_at.insert(home.clone(), now);
             }
         }
     }
 
-    /// Whether `home` answered anything since `since`.
-    pub(crate) fn heard_since(&self, home: &InstanceId, since: Instant) -> bool {
-        self.heard_at.borrow().get(home).is_some_and(|it| *it >= since)
+    /// Whether `home` has answered at `since` or later.
+    pub(crate) fn has_answered_since(&self, home: &InstanceId, since: Instant) -> bool {
+        self.last_answer_at.borrow().get(home).is_some_and(|it| *it >= since)
     }
 
-    /// Gives back a lane that carries no transaction.
-    pub(crate) fn give_back(&self, home: &InstanceId, lane: Box<dyn Lane>) {
+    /// Returns a lane without an open transaction to the pool; surplus lanes are closed.
+    pub(crate) fn release(&self, home: &InstanceId, lane: Box<dyn Lane>) {
         let mut idle = self.idle.borrow_mut();
         let lanes = idle.entry(home.clone()).or_default();
-        if lanes.len() < IDLE_LIMIT {
+        if lanes.len() < MAX_IDLE_LANES {
             lanes.push(lane);
         }
     }
--- a/crates/gullspar_caller/src/lib.rs
+++ b/crates/gullspar_caller/src/lib.rs
@@ -1,4 +1,4 @@
-//! Callers: their connections, what their statements need, and where those go.
+//! Serves callers: sessions, statement classification and routing to targets.
 
 mod caller_server;
 mod caller_sink;
--- a/crates/gullspar_caller/src/local_answer.rs
+++ b/crates/gullspar_caller/src/local_answer.rs
@@ -1,16 +1,16 @@
-//! Answers that gullspar gives itself, message by message as a target would.
+//! Answers that gullspar creates itself, in the form a target would send them.
 
 use bytes::{BufMut, BytesMut};
 use gullspar_wire::{Channel, Frame, caller, command_complete, target};
 
-/// A name and its value, shown as a row of one column.
+/// A setting's name and value, sent as a row of one column.
 #[derive(Clone, Copy)]
 pub(crate) struct ShownSetting<'s> {
     pub(crate) name: &'s str,
     pub(crate) value: &'s str,
 }
 
-/// Answers each message of a request as a target would.
+/// Queues the answer to each message of a request; `kinds` are the messages' type bytes.
 pub(crate) fn complete_locally(
     channel: &mut Channel,
     kinds: &[u8],
@@ -51,7 +51,7 @@
 }
 
 fn text_column(name: &str) -> Frame {
-    /// PostgreSQL's number of the type `text`.
+    /// PostgreSQL's OID of the type `text`.
     const TEXT: u32 = 25;
     let mut body = BytesMut::new();
     body.put_u16(1);
--- a/crates/gullspar_caller/src/local_command.rs
+++ b/crates/gullspar_caller/src/local_command.rs
@@ -1,17 +1,17 @@
-//! Statements that gullspar answers itself: settings under the name `gullspar`.
+//! Statements that gullspar answers itself: `SET` and `SHOW` of settings named `gullspar.*`.
 
-/// A setting of gullspar's own.
+/// A session setting of gullspar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalSetting {
     /// The session token.
     Token,
-    /// The oldest data that reads accept, in milliseconds.
+    /// Maximum age of the data that reads accept, in milliseconds.
     MaxAgeMs,
     /// Time within which each request must be answered, in milliseconds.
     DeadlineMs,
     /// Key of the next request, which must run at most once.
     RequestKey,
-    /// The instance that serves the session; can't be set.
+    /// The instance that serves the session; read-only.
     Instance,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl LocalSetting {
-    /// The setting called `name`, which is written without the leading `gullspar.`.
+    /// The setting with this name, given without the prefix `gullspar.`.
     pub fn by_name(name: &str) -> Option<LocalSetting> {
         match name {
             "token" => Some(LocalSetting::Token),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The name as callers write it.
+    /// The full name, with the prefix `gullspar.`.
     pub fn name(self) -> &'static str {
         match self {
             LocalSetting::Token => "gullspar.token",
@@ -51,7 +51,7 @@
 impl LocalCommand {
     const PREFIX: &'static str = "gullspar.";
 
-    /// Recognises a statement about one of gullspar's settings.
+    /// Parses a `SET` or `SHOW` of one of gullspar's settings; `None` for any other statement.
     ///
     /// ```text
     /// SET gullspar.token = 'listings:3:17:0a1b'
--- a/crates/gullspar_caller/src/minute_ring.rs
+++ b/crates/gullspar_caller/src/minute_ring.rs
@@ -1,31 +1,31 @@
-//! Counts by minute, as far back as the longest burn window.
+//! Request counts by minute, for the longest window of the burn report.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use gullspar_border::{MinuteCount, TargetFailureCount};
 use gullspar_model::TargetKey;
 
-/// Minutes kept: six hours, the longest window of the burn report.
-const KEPT_MINUTES: usize = 360;
+/// Minutes retained: six hours, the longest window of the burn report.
+const MAX_MINUTES: usize = 360;
 
-/// Minutes that blames are kept for.
-const BLAMED_MINUTES: u64 = 60;
+/// How long failures are retained, in minutes.
+const FAILURE_WINDOW_MINUTES: u64 = 60;
 
 /// Failed requests of one minute at one target, for one reason.
-struct Blame {
+struct FailureCount {
     minute: u64,
     target: Option<TargetKey>,
     reason: &'static str,
     count: u64,
 }
 
-/// Counts of the last hours; the newest minute last.
+/// Request counts of the last hours, newest minute last, and failures of the last hour.
 #[derive(Default)]
 pub(crate) struct MinuteRing {
     minutes: VecDeque<MinuteCount>,
     /// Number of the newest minute.
     newest: u64,
-    blames: VecDeque<Blame>,
+    failures: VecDeque<FailureCount>,
 }
 
 impl MinuteRing {
@@ -35,54 +35,61 @@
             self.newest = minute;
             self.minutes.push_back(MinuteCount::default());
         }
-        let passed = minute.saturating_sub(self.newest).min(KEPT_MINUTES as u64);
+        let passed = minute.saturating_sub(self.newest).min(MAX_MINUTES as u64);
         for _ in 0..passed {
             self.minutes.push_back(MinuteCount::default());
         }
         self.newest = self.newest.max(minute);
-        let surplus = self.minutes.len().saturating_sub(KEPT_MINUTES);
+        let surplus = self.minutes.len().saturating_sub(MAX_MINUTES);
         self.minutes.drain(..surplus);
         let last = self.minutes.len() - 1;
         &mut self.minutes[last]
     }
 
-    /// Notes a failed request.
-    pub(crate) fn blame(&mut self, minute: u64, target: Option<&TargetKey>, reason: &'static str) {
-        while self.blames.front().is_some_and(|it| it.minute + BLAMED_MINUTES < minute) {
-            self.blames.pop_front();
+    /// Records a failed request.
+    pub(crate) fn record_failure(
+        &mut self,
+        minute: u64,
+        target: Option<&TargetKey>,
+        reason: &'static str,
+    ) {
+        while self.failures.front().is_some_and(|it| it.minute + FAILURE_WINDOW_MINUTES < minute) {
+            self.failures.pop_front();
         }
-        let known = self
-            .blames
+        let existing = self
+            .failures
             .iter_mut()
             .rev()
             .take_while(|it| it.minute == minute)
             .find(|it| it.target.as_ref() == target && it.reason == reason);
-        match known {
-            Some(known) => known.count += 1,
+        match existing {
+            Some(existing) => existing.count += 1,
             None => {
                 let target = target.cloned();
-                self.blames.push_back(Blame { minute, target, reason, count: 1 });
+                self.failures.push_back(FailureCount { minute, target, reason, count: 1 });
             }
         }
     }
 
-    /// Counts from `minute` backwards.
+    /// Counts by minute, from `minute` backwards.
     pub(crate) fn minutes(&self, minute: u64) -> Vec<MinuteCount> {
-        let quiet = minute.saturating_sub(self.newest).min(KEPT_MINUTES as u64) as usize;
-        let mut counts = vec![MinuteCount::default(); quiet];
+        let idle = minute.saturating_sub(self.newest).min(MAX_MINUTES as u64) as usize;
+        let mut counts = vec![MinuteCount::default(); idle];
         counts.extend(self.minutes.iter().rev().copied());
-        counts.truncate(KEPT_MINUTES);
+        counts.truncate(MAX_MINUTES);
         counts
     }
 
-    /// Blames of the last hour, the most frequent first.
-    pub(crate) fn blames(&self, minute: u64) -> Vec<TargetFailureCount> {
+    /// Failures of the last hour by target and reason, the most frequent first.
+    pub(crate) fn failures(&self, minute: u64) -> Vec<TargetFailureCount> {
         let mut sums: BTreeMap<(String, &'static str), u64> = BTreeMap::new();
-        for blame in self.blames.iter().filter(|it| it.minute + BLAMED_MINUTES >= minute) {
-            let target = blame.target.as_ref().map_or(String::new(), ToString::to_string);
-            *sums.entry((target, blame.reason)).or_default() += blame.count;
+        for failure in
+            self.failures.iter().filter(|it| it.minute + FAILURE_WINDOW_MINUTES >= minute)
+        {
+            let target = failure.target.as_ref().map_or(String::new(), ToString::to_string);
+            *sums.entry((target, failure.reason)).or_default() += failure.count;
         }
-        let mut blames: Vec<TargetFailureCount> = sums
+        let mut failures: Vec<TargetFailureCount> = sums
             .into_iter()
             .map(|((target, reason), count)| TargetFailureCount {
                 target,
@@ -90,7 +97,7 @@
                 count,
             })
             .collect();
-        blames.sort_by_key(|it| std::cmp::Reverse(it.count));
-        blames
+        failures.sort_by_key(|it| std::cmp::Reverse(it.count));
+        failures
     }
 }
--- a/crates/gullspar_caller/src/plan.rs
+++ b/crates/gullspar_caller/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a request needs: which target, which connection, and what its answer must wait for.
+//! Requirements of a request: its target, its connection and what its answer waits for.
 
 use gullspar_model::Access;
 
@@ -6,7 +6,7 @@
 use crate::session_state::{SessionState, TransactionState};
 use crate::statement::StatementKind;
 
-/// What a request needs.
+/// Requirements of a request.
 pub(crate) struct Plan {
     pub(crate) access: Access,
     /// Whether a replica may serve it.
@@ -15,27 +15,27 @@
     pub(crate) acknowledge: bool,
     /// Whether it may make a change permanent.
     pub(crate) commits: bool,
-    /// Whether the session keeps its connection after it.
-    pub(crate) keep: bool,
+    /// Whether the session keeps the connection after it.
+    pub(crate) keeps_connection: bool,
     /// Whether it changes the session's settings.
-    pub(crate) dirties: bool,
-    /// Whether the session learns its floor by it.
-    pub(crate) anchors: bool,
+    pub(crate) changes_settings: bool,
+    /// Whether it sets the session's floor to a position that covers the caller's earlier writes.
+    pub(crate) anchors_floor: bool,
 }
 
 impl Plan {
-    /// What a request needs, with regard to the batch that it is part of.
+    /// Determines the requirements of a request, including those of the batch it belongs to.
     ///
-    /// A Flush shows what ran so far, and only the batch's Sync commits it; asked for its position
-    /// before that, the target would answer in the middle of the batch.
+    /// A batch commits at its Sync. A request that ends with a Flush neither commits nor waits to be
+    /// acknowledged: a query for the log position would be answered in the middle of the batch.
     pub(crate) fn new(state: &mut SessionState, req: &Request) -> Plan {
-        let mut plan = Plan::alone(state, req);
+        let mut plan = Plan::without_batch(state, req);
         let pending = state.batch_open && state.batch_commits;
         if req.end == RequestEnd::Flush {
             state.batch_commits = pending || plan.commits;
             plan.commits = false;
             plan.acknowledge = false;
-            // What follows in the batch may write, and must run on the same connection.
+            // The rest of the batch runs on the same connection and may write.
             plan.replica_allowed = false;
         } else {
             plan.commits |= pending;
@@ -45,20 +45,22 @@
         plan
     }
 
-    fn alone(state: &SessionState, req: &Request) -> Plan {
-        let on_replica = state.transaction == TransactionState::Open { on_primary: false };
+    /// Determines the requirements of a request on its own.
+    fn without_batch(state: &SessionState, req: &Request) -> Plan {
+        let in_replica_transaction =
+            state.transaction == TransactionState::Open { on_primary: false };
         let mut plan = Plan {
             access: Access::Read,
             replica_allowed: true,
             acknowledge: true,
             commits: false,
-            keep: state.pinned,
-            dirties: false,
-            anchors: false,
+            keeps_connection: state.pinned,
+            changes_settings: false,
+            anchors_floor: false,
         };
         let open = matches!(state.transaction, TransactionState::Open { .. });
         if req.statements.is_empty() {
-            // Nothing runs; what is only described may need the primary's newer schema.
+            // Nothing runs. Describing a statement that is no read may need the primary's newer schema.
             plan.replica_allowed = req.described.iter().all(|it| it.is_read());
             plan.acknowledge = false;
             return plan;
@@ -75,10 +77,10 @@
                 }
                 StatementKind::Set | StatementKind::Reset if single => {
                     plan.acknowledge = false;
-                    plan.dirties = true;
+                    plan.changes_settings = true;
                 }
                 StatementKind::Pinning => {
-                    plan.keep = true;
+                    plan.keeps_connection = true;
                     plan.access = Access::Write;
                     plan.commits = !open;
                 }
@@ -96,16 +98,16 @@
         if open && !plan.commits {
             plan.acknowledge = false;
         }
-        if on_replica {
+        if in_replica_transaction {
             plan.acknowledge = false;
             plan.commits = false;
         }
         if plan.access == Access::Write {
             plan.replica_allowed = false;
         } else if state.needs_anchor() && !open {
-            // The caller may have written through another instance and kept no token.
+            // The caller may have written through another instance without keeping the token.
             plan.replica_allowed = false;
-            plan.anchors = true;
+            plan.anchors_floor = true;
         }
         plan
     }
--- a/crates/gullspar_caller/src/request.rs
+++ b/crates/gullspar_caller/src/request.rs
@@ -1,4 +1,4 @@
-//! What a caller sent, up to the point where it waits for an answer.
+//! A request: the messages a caller sends before it waits for an answer.
 
 use std::rc::Rc;
 
@@ -13,21 +13,21 @@
     Query,
     /// A Sync after extended messages.
     Sync,
-    /// A Flush: more of the same batch follows.
+    /// A Flush; the batch continues.
     Flush,
 }
 
-/// A request, with its messages rewritten for shared connections.
+/// A request; its messages use the shared names of prepared statements.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) payload: BytesMut,
-    /// The statements that it runs, in order.
+    /// Statements that it runs, in order.
     pub(crate) statements: Vec<Rc<Statement>>,
     /// Statements that it only parses or describes.
     pub(crate) described: Vec<Rc<Statement>>,
-    /// Text of its only statement, where there is just one.
+    /// Text of its query, or of the statement that it parses or binds last.
     pub(crate) text: Option<String>,
-    /// Type bytes of its messages, for answers that gullspar gives itself.
+    /// Type bytes of its messages, needed to answer it locally.
     pub(crate) kinds: Vec<u8>,
     pub(crate) end: RequestEnd,
 }
--- a/crates/gullspar_caller/src/request_reader.rs
+++ b/crates/gullspar_caller/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! Collects a caller's messages into requests.
+//! Reads a caller's messages and groups them into requests.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -11,19 +11,19 @@
 use crate::request::{Request, RequestEnd};
 use crate::{Classifier, Statement};
 
-/// Most that a request may hold, in bytes.
-const REQUEST_LIMIT: usize = 16 * 1024 * 1024;
+/// Longest request, in bytes.
+const MAX_REQUEST_BYTES: usize = 16 * 1024 * 1024;
 
-/// Statements that a session may keep prepared.
-const PREPARED_LIMIT: usize = 4096;
+/// Prepared statements that a session may have.
+const MAX_PREPARED_STATEMENTS: usize = 4096;
 
-/// What a caller wants next.
+/// What a caller sent.
 pub(crate) enum Incoming {
     Request(Request),
     Terminate,
 }
 
-/// A statement that the caller prepared.
+/// A prepared statement.
 #[derive(Clone, Debug)]
 struct Prepared {
     sql: String,
@@ -31,7 +31,7 @@
     statement: Rc<Statement>,
 }
 
-/// Statements and portals of a session.
+/// Reads requests and tracks the session's prepared statements and portals.
 #[derive(Default)]
 pub(crate) struct RequestReader {
     prepared: HashMap<String, Prepared>,
@@ -39,7 +39,7 @@
 }
 
 impl RequestReader {
-    /// Reads the next request whole.
+    /// Reads the next request completely.
     pub(crate) async fn next(
         &mut self,
         channel: &mut Channel,
@@ -48,15 +48,19 @@
         let mut batch = Batch::default();
         loop {
             let frame = channel.next().await?;
-            if batch.payload.len() + frame.bytes().len() > REQUEST_LIMIT {
-                return Err(WireError::TooLarge(frame.kind(), batch.payload.len(), REQUEST_LIMIT));
+            if batch.payload.len() + frame.bytes().len() > MAX_REQUEST_BYTES {
+                return Err(WireError::TooLarge(
+                    frame.kind(),
+                    batch.payload.len(),
+                    MAX_REQUEST_BYTES,
+                ));
             }
             match frame.kind() {
                 caller::TERMINATE => return Ok(Incoming::Terminate),
                 caller::QUERY if batch.kinds.is_empty() => {
-                    return simple(&frame, classifier).map(Incoming::Request);
+                    return simple_query(&frame, classifier).map(Incoming::Request);
                 }
-                // Leftovers of a COPY that was refused.
+                // The caller may still send the data of a COPY that was refused.
                 caller::COPY_DATA | caller::COPY_DONE | caller::COPY_FAIL => {}
                 caller::SYNC | caller::FLUSH => {
                     batch.add(&frame);
@@ -84,8 +88,8 @@
         }
     }
 
-    /// Forgets everything, as DISCARD ALL does.
-    pub(crate) fn forget(&mut self) {
+    /// Removes all prepared statements and portals, as DISCARD ALL does.
+    pub(crate) fn clear(&mut self) {
         self.prepared.clear();
         self.portals.clear();
     }
@@ -97,8 +101,9 @@
         batch: &mut Batch,
     ) -> Result<(), WireError> {
         let (name, sql, types) = parse_parts(frame)?;
-        if self.prepared.len() >= PREPARED_LIMIT && !self.prepared.contains_key(name) {
-            let what = format!("more than {PREPARED_LIMIT} prepared statements in one session");
+        if self.prepared.len() >= MAX_PREPARED_STATEMENTS && !self.prepared.contains_key(name) {
+            let what =
+                format!("more than {MAX_PREPARED_STATEMENTS} prepared statements in one session");
             return Err(WireError::Malformed(what));
         }
         let statement = classifier.classify(sql);
@@ -114,7 +119,7 @@
 
     fn bind(&mut self, frame: &Frame, batch: &mut Batch) -> Result<(), WireError> {
         let (portal, name, rest) = bind_parts(frame)?;
-        let shared = self.present(name, batch);
+        let shared = self.ensure_parsed(name, batch);
         if let Some(prepared) = self.prepared.get(name) {
             self.portals.insert(portal.to_owned(), Rc::clone(&prepared.statement));
             batch.text = Some(prepared.sql.clone());
@@ -129,7 +134,7 @@
             batch.add(frame);
             return Ok(());
         }
-        let shared = self.present(name, batch);
+        let shared = self.ensure_parsed(name, batch);
         if let Some(prepared) = self.prepared.get(name) {
             batch.described.push(Rc::clone(&prepared.statement));
         }
@@ -140,10 +145,10 @@
         Ok(())
     }
 
-    /// Sees to it that the connection will have the statement `name`, and gives its shared name.
+    /// Adds a Parse of the statement `name` unless the batch has one, and returns its shared name.
     ///
-    /// The connection that serves this request may be another than the one that parsed it.
-    fn present(&self, name: &str, batch: &mut Batch) -> String {
+    /// The request may run on another connection than the one that parsed the statement.
+    fn ensure_parsed(&self, name: &str, batch: &mut Batch) -> String {
         let Some(prepared) = self.prepared.get(name) else { return name.to_owned() };
         let shared = prepared.shared_name(name);
         if batch.parsed.insert(name.to_owned()) {
@@ -162,16 +167,16 @@
             return Ok(());
         }
         self.prepared.remove(name);
-        // The shared statement stays, others may use it; closing one that isn't there is answered
-        // as any other.
+        // Other sessions may use the shared statement, so one that does not exist is closed instead;
+        // the target answers that with CloseComplete too.
         batch.add(&Frame::new(caller::CLOSE, b"Sgullspar_none\0"));
         Ok(())
     }
 }
 
 impl Prepared {
-    /// The name under which connections know the statement: the same for the same text, whoever
-    /// prepares it. The unnamed statement stays unnamed.
+    /// The statement's name on connections: a hash of its text and parameter types, so that sessions
+    /// share it. The unnamed statement stays unnamed.
     fn shared_name(&self, name: &str) -> String {
         if name.is_empty() {
             return String::new();
@@ -184,6 +189,7 @@
     }
 }
 
+/// Messages collected since the last Sync or Flush.
 #[derive(Default)]
 struct Batch {
     payload: BytesMut,
@@ -212,7 +218,7 @@
     }
 }
 
-fn simple(frame: &Frame, classifier: &Classifier) -> Result<Request, WireError> {
+fn simple_query(frame: &Frame, classifier: &Classifier) -> Result<Request, WireError> {
     let sql = frame.first_text()?;
     Ok(Request {
         statements: vec![classifier.classify(sql)],
--- a/crates/gullspar_caller/src/retry_budget.rs
+++ b/crates/gullspar_caller/src/retry_budget.rs
@@ -1,38 +1,39 @@
-//! Keeps retries from multiplying a failure.
+//! Limits retries to a share of the load.
 
 use std::cell::Cell;
 
-/// Retries allowed for each hundred fresh requests.
-const PERCENT: u32 = 10;
+/// Retries allowed per hundred new requests.
+const RETRY_PERCENT: u32 = 10;
 
-/// Retries that may be saved up, so that a short failure after a quiet time is covered.
-const SAVED_LIMIT: u32 = 20;
+/// Maximum number of saved retries, which cover a short failure after a time without retries.
+const MAX_SAVED_RETRIES: u32 = 20;
 
-/// A budget that fresh requests fill and retries draw upon.
+/// A budget that new requests fill and retries consume.
 ///
-/// When everything fails, every request would be retried and the load double at the worst moment. With
-/// the budget, retries stay a tenth of the load, whatever fails.
+/// Without it, a failure that affects all requests would double the load, since each of them would be
+/// retried. With it, retries add at most a tenth to the load once the saved retries are used up.
 pub struct RetryBudget {
-    /// In hundredths of a retry.
-    saved: Cell<u32>,
+    /// Retries left, in hundredths.
+    saved_hundredths: Cell<u32>,
 }
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { saved: Cell::new(SAVED_LIMIT * 100) }
+        RetryBudget { saved_hundredths: Cell::new(MAX_SAVED_RETRIES * 100) }
     }
 }
 
 impl RetryBudget {
-    /// Counts a fresh request.
-    pub fn fill(&self) {
-        self.saved.set((self.saved.get() + PERCENT).min(SAVED_LIMIT * 100));
+    /// Adds the share of a new request to the budget.
+    pub fn record_request(&self) {
+        self.saved_hundredths
+            .set((self.saved_hundredths.get() + RETRY_PERCENT).min(MAX_SAVED_RETRIES * 100));
     }
 
-    /// Draws one retry; `false` means that there must be none.
-    pub fn draw(&self) -> bool {
-        let Some(left) = self.saved.get().checked_sub(100) else { return false };
-        self.saved.set(left);
+    /// Consumes one retry; `false` if none is left.
+    pub fn try_consume(&self) -> bool {
+        let Some(left) = self.saved_hundredths.get().checked_sub(100) else { return false };
+        self.saved_hundredths.set(left);
         true
     }
 }
--- a/crates/gullspar_caller/src/scram_exchange.rs
+++ b/crates/gullspar_caller/src/scram_exchange.rs
@@ -12,7 +12,7 @@
 
 const MECHANISM: &str = "SCRAM-SHA-256";
 
-/// The salted password that the caller must know.
+/// Salted password hash that a caller's password is checked against.
 pub(crate) struct Verifier {
     iterations: u16,
     salt: Vec<u8>,
@@ -20,7 +20,7 @@
 }
 
 impl Verifier {
-    /// Reads `iterations:salt:hash`, with both parts in hex.
+    /// Parses `iterations:salt:hash`, with salt and hash in hex.
     pub(crate) fn parse(text: &str) -> Option<Verifier> {
         let mut parts = text.split(':');
         let iterations = parts.next()?.parse().ok()?;
@@ -29,9 +29,9 @@
         Some(Verifier { iterations, salt, hash })
     }
 
-    /// A verifier that no password matches, for accounts that don't exist: told at once, a stranger
-    /// could find out which accounts do.
-    pub(crate) fn for_stranger() -> Verifier {
+    /// A verifier that no password matches, for callers that don't exist. Refusing them before the
+    /// exchange would reveal which callers exist.
+    pub(crate) fn for_unknown_caller() -> Verifier {
         Verifier { iterations: 4096, salt: vec![0; 16], hash: vec![0; 32] }
     }
 }
@@ -48,12 +48,12 @@
 
 impl AuthenticationProvider for Verifier {
     fn get_password_for(&self, _: &str) -> Option<PasswordInfo> {
-        // The account is that of the start-up message, as in PostgreSQL.
+        // As in PostgreSQL, the user name of the start-up message counts, not the one of the exchange.
         Some(PasswordInfo::new(self.hash.clone(), self.iterations, self.salt.clone()))
     }
 }
 
-/// Runs the exchange; tells whether the caller knows the password.
+/// Runs the exchange; `true` if the caller has proved that it knows the password.
 pub(crate) async fn authenticate(
     channel: &mut Channel,
     verifier: Verifier,
--- a/crates/gullspar_caller/src/session.rs
+++ b/crates/gullspar_caller/src/session.rs
@@ -1,4 +1,4 @@
-//! One caller's session, from authentication to the end.
+//! A caller's session, from authentication until the connection closes.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,37 +14,37 @@
 };
 
 use crate::caller_sink::CallerSink;
-use crate::cancel_registry::Registered;
+use crate::cancel_registry::CancelRegistration;
 use crate::local_command::LocalSetting;
 use crate::outcome_report::{not_run_report, refusal, unknown_report};
 use crate::plan::Plan;
 use crate::request::{Request, RequestEnd};
 use crate::request_reader::{Incoming, RequestReader};
-use crate::router::{self, Routed, Routing};
+use crate::router::{self, RouteResult, RoutedRequest};
 use crate::scram_exchange::{self, Verifier};
 use crate::session_settings::local_command;
 use crate::session_state::{HeldLane, SessionState, TransactionState};
 use crate::startup::{self, SessionRequest};
 use crate::statement::StatementKind;
-use crate::stats::Counted;
+use crate::stats::FinishedRequest;
 use crate::{CallerServer, RequestKind};
 
 /// How long a read may wait for a replica to reach the session's floor before another target is
-/// tried; weighed in `docs/design/staleness.md`.
-const FLOOR_WAIT_MS: u64 = 20;
+/// tried, in milliseconds.
+const MAX_FLOOR_WAIT_MS: u64 = 20;
 
-/// A session that has been authenticated.
+/// An authenticated session.
 pub(crate) struct Session {
     pub(crate) server: Rc<CallerServer>,
     pub(crate) state: SessionState,
     pub(crate) reader: RequestReader,
-    registered: Registered,
-    /// Kept from one wait to the next.
-    leaving: Option<EventListener>,
+    registration: CancelRegistration,
+    /// Notified when the instance starts to leave; reused across waits.
+    leaving_listener: Option<EventListener>,
 }
 
 impl Session {
-    /// Authenticates the caller and opens its session; `None` if it was refused.
+    /// Authenticates the caller and opens its session; `None` if the caller was refused.
     pub(crate) async fn start(
         server: &Rc<CallerServer>,
         channel: &mut Channel,
@@ -60,7 +60,7 @@
         let spec = object.callers.get(&caller);
         let verifier = spec.and_then(|it| Verifier::parse(&it.verifier));
         let known = verifier.is_some();
-        let verifier = verifier.unwrap_or_else(Verifier::for_stranger);
+        let verifier = verifier.unwrap_or_else(Verifier::for_unknown_caller);
         let authentic = scram_exchange::authenticate(channel, verifier).await?;
         let class = object.class_of(&caller).copied();
         let (true, true, Some(class), Some(spec)) = (authentic, known, class, spec) else {
@@ -86,13 +86,13 @@
             held: None,
             object: Rc::clone(&object),
         };
-        let registered = server.cancels.register(&*server.fleet.borders().entropy);
+        let registration = server.cancels.register(&*server.fleet.borders().entropy);
         let mut session = Session {
             server: Rc::clone(server),
             state,
             reader: RequestReader::default(),
-            registered,
-            leaving: None,
+            registration,
+            leaving_listener: None,
         };
         for (name, value) in settings {
             if let Err(report) = session.apply_startup_setting(&name, &value) {
@@ -100,34 +100,36 @@
                 return Ok(None);
             }
         }
-        session.welcome(channel).await?;
+        session.complete_startup(channel).await?;
         Ok(Some(session))
     }
 
+    /// Applies one of gullspar's settings, or keeps any other to be set on connections.
     fn apply_startup_setting(&mut self, name: &str, value: &str) -> Result<(), ErrorReport> {
-        let Some(own) = name.strip_prefix("gullspar.") else {
+        let Some(local_name) = name.strip_prefix("gullspar.") else {
             self.state.settings.push(format!("SET {name} = '{}'", value.replace('\'', "''")));
             return Ok(());
         };
-        let Some(setting) = LocalSetting::by_name(own) else {
+        let Some(setting) = LocalSetting::by_name(local_name) else {
             let text = format!("unrecognized setting \"{name}\"");
             return Err(ErrorReport::fatal("42704", text));
         };
         self.set(setting, value).map_err(|it| ErrorReport { severity: "FATAL".to_owned(), ..it })
     }
 
-    async fn welcome(&self, channel: &mut Channel) -> Result<(), WireError> {
+    /// Sends the messages that follow a successful authentication, up to ReadyForQuery.
+    async fn complete_startup(&self, channel: &mut Channel) -> Result<(), WireError> {
         channel.queue(Frame::new(target::AUTHENTICATION, &[0; 4]).bytes());
         queue_server_parameters(channel.outgoing());
         let mut key = BytesMut::new();
-        key.put_i32(self.registered.process);
-        key.put_i32(self.registered.secret);
+        key.put_i32(self.registration.process);
+        key.put_i32(self.registration.secret);
         channel.queue(Frame::new(target::BACKEND_KEY, &key).bytes());
         channel.queue(ready(status::IDLE).bytes());
         channel.flush().await
     }
 
-    /// Serves requests until the caller leaves or the instance shuts down.
+    /// Serves requests until the caller disconnects or the instance shuts down.
     pub(crate) async fn serve(&mut self, channel: &mut Channel) -> Result<(), WireError> {
         loop {
             if !self.wait_for_request(channel).await? {
@@ -141,17 +143,17 @@
         }
     }
 
-    /// Waits for the caller to send something; `false` when the session ends instead.
+    /// Waits for the caller to send data; `false` if the instance is leaving and the session was ended.
     async fn wait_for_request(&mut self, channel: &mut Channel) -> Result<bool, WireError> {
         if channel.has_unread() {
             return Ok(true);
         }
-        if self.state.continues() {
+        if self.state.needs_held_lane() {
             channel.wait_readable().await?;
             return Ok(true);
         }
         let fleet = Rc::clone(&self.server.fleet);
-        let leaving = self.leaving.get_or_insert_with(|| fleet.listen_leaving());
+        let leaving = self.leaving_listener.get_or_insert_with(|| fleet.listen_leaving());
         if !fleet.is_leaving() {
             let readable = channel.wait_readable();
             futures::pin_mut!(readable);
@@ -159,9 +161,9 @@
                 result?;
                 return Ok(true);
             }
-            // The read is given up, and the connection with it.
+            // The pending read is dropped, and the session ends.
         }
-        // Nothing of this session is in flight; its caller finds another instance.
+        // The session has nothing in flight, so the caller can reconnect to another instance.
         let text = "terminating connection: the instance is shutting down";
         let report = ErrorReport::fatal("57P01", text).with_hint("not run; connect again");
         startup::refuse(channel, &report).await?;
@@ -187,28 +189,29 @@
         }
         let unit = self.unit(&req, &plan);
         let mut sink = CallerSink::new(channel);
-        let continues = self.state.continues();
+        let continues = self.state.needs_held_lane();
         let routing = if continues {
             self.run_on_held(&unit, &mut sink, deadline).await
         } else {
             self.route(&req, &plan, unit, &mut sink, deadline).await
         };
         let saw_error = sink.saw_error;
-        self.count(&plan, &routing, clock.now().saturating_duration_since(started));
-        self.settle(&req, &plan, &routing, saw_error);
-        self.conclude(channel, &req, routing, continues, deadline).await
+        self.record_stats(&plan, &routing, clock.now().saturating_duration_since(started));
+        self.apply_outcome(&req, &plan, &routing, saw_error);
+        self.answer_outcome(channel, &req, routing, continues, deadline).await
     }
 
+    /// Builds the unit of work that is sent to the target.
     fn unit(&mut self, req: &Request, plan: &Plan) -> Unit {
         let state = &mut self.state;
-        let marked = req.statements.first().and_then(|it| it.request_key.clone());
-        let request_key = marked
+        let comment_key = req.statements.first().and_then(|it| it.request_key.clone());
+        let request_key = comment_key
             .or_else(|| {
-                // The key given by SET goes with the next request that can commit.
+                // A key given by SET applies to the next request that can commit.
                 if plan.commits { state.request_key.take() } else { None }
             })
             .filter(|_| Guard::RequestKey.is_enabled());
-        let continues = state.continues();
+        let continues = state.needs_held_lane();
         let on_primary = match &state.held {
             Some(held) if continues => held.on_primary,
             _ => !plan.replica_allowed,
@@ -223,16 +226,16 @@
             acknowledge: plan.acknowledge && (on_primary || !continues),
             continues,
             commits: plan.commits,
-            keep: plan.keep,
-            dirties: plan.dirties,
+            keep: plan.keeps_connection,
+            dirties: plan.changes_settings,
             settings: state.settings.clone(),
             priority: state.class.priority,
             remaining_ms: 0,
             requirement: LaneRequirement {
                 floor: state.floor,
                 max_age_ms: state.age_limit_ms(),
-                wait_ms: FLOOR_WAIT_MS,
-                confirm: plan.anchors,
+                wait_ms: MAX_FLOOR_WAIT_MS,
+                confirm: plan.anchors_floor,
             },
             request_key,
             payload: req.payload.len() as u64,
@@ -240,39 +243,40 @@
         Unit { head, payload: req.payload.clone() }
     }
 
+    /// Runs a unit on the lane that the session holds.
     async fn run_on_held(
         &mut self,
         unit: &Unit,
         sink: &mut CallerSink<'_>,
         deadline: Instant,
-    ) -> Routing {
+    ) -> RouteResult {
         let on_primary = unit.head.on_primary;
         let Some(mut held) = self.state.held.take() else {
             let outcome = Outcome::NotRun(NotRun::TransactionLost);
-            return Routing { outcome, lane: None, on_primary, target: None };
+            return RouteResult { outcome, lane: None, on_primary, target: None };
         };
         let target = Some(TargetKey::new(&unit.head.group, &held.member));
         let clock = Rc::clone(&self.server.fleet.borders().clock);
         let mut unit = unit.clone();
         let remaining = deadline.saturating_duration_since(clock.now());
         unit.head.remaining_ms = remaining.as_millis() as u64;
-        self.registered.set_running(Some(held.lane.canceller()));
+        self.registration.set_canceller(Some(held.lane.canceller()));
         let run = held.lane.run(&unit, sink);
         let result = self.server.router.unless_superseded(&unit.head, run).await;
-        self.registered.set_running(None);
+        self.registration.set_canceller(None);
         let Some(result) = result else {
-            let outcome = router::superseded(&unit.head);
-            return Routing { outcome, lane: None, on_primary, target };
+            let outcome = router::superseded_outcome(&unit.head);
+            return RouteResult { outcome, lane: None, on_primary, target };
         };
         match result {
             Ok(outcome) => {
-                let sound = !matches!(outcome, Outcome::Unknown(_));
-                let lane = sound.then_some(held);
-                Routing { outcome, lane, on_primary, target }
+                let is_reusable = !matches!(outcome, Outcome::Unknown(_));
+                let lane = is_reusable.then_some(held);
+                RouteResult { outcome, lane, on_primary, target }
             }
             Err(_) => {
-                let outcome = router::lost_on_lane(&unit.head);
-                Routing { outcome, lane: None, on_primary, target }
+                let outcome = router::broken_lane_outcome(&unit.head);
+                RouteResult { outcome, lane: None, on_primary, target }
             }
         }
     }
@@ -284,31 +288,31 @@
         unit: Unit,
         sink: &mut CallerSink<'_>,
         deadline: Instant,
-    ) -> Routing {
-        let marked = req.statements.iter().all(|it| it.idempotent);
+    ) -> RouteResult {
+        let idempotent = req.statements.iter().all(|it| it.idempotent);
         let repeatable =
-            router::reads_only(&unit.head) || marked || unit.head.request_key.is_some();
+            router::is_read_only(&unit.head) || idempotent || unit.head.request_key.is_some();
         let object = Rc::clone(&self.state.object);
-        let mut routed = Routed {
+        let mut routed = RoutedRequest {
             unit,
             group: &object.group,
             deadline,
             repeatable,
             replica_allowed: plan.replica_allowed,
         };
-        let registered = &self.registered;
-        let on_lane = |cancel: Option<Canceller>| registered.set_running(cancel);
-        self.server.router.route(&mut routed, sink, &on_lane).await
+        let registration = &self.registration;
+        let set_canceller = |cancel: Option<Canceller>| registration.set_canceller(cancel);
+        self.server.router.route(&mut routed, sink, &set_canceller).await
     }
 
-    fn count(&self, plan: &Plan, routing: &Routing, took: Duration) {
+    fn record_stats(&self, plan: &Plan, routing: &RouteResult, took: Duration) {
         let kind = match (plan.access, routing.on_primary) {
             (Access::Write, _) => RequestKind::Write,
             (Access::Read, true) => RequestKind::PrimaryRead,
             (Access::Read, false) => RequestKind::ReplicaRead,
         };
         let state = &self.state;
-        self.server.stats.count(&Counted {
+        self.server.stats.record(&FinishedRequest {
             service: &state.service,
             class_name: &state.class_name,
             class: &state.class,
@@ -319,11 +323,17 @@
         });
     }
 
-    /// Takes what the request changed over into the session.
-    fn settle(&mut self, req: &Request, plan: &Plan, routing: &Routing, saw_error: bool) {
+    /// Updates the session's floor, settings and pinning after a request that completed.
+    fn apply_outcome(
+        &mut self,
+        req: &Request,
+        plan: &Plan,
+        routing: &RouteResult,
+        saw_error: bool,
+    ) {
         let Outcome::Done { point, .. } = &routing.outcome else { return };
         if let Some(point) = point
-            && (plan.commits || plan.anchors)
+            && (plan.commits || plan.anchors_floor)
         {
             self.state.raise_floor(*point);
             self.state.anchored = true;
@@ -337,25 +347,26 @@
             }
             [one] if one.kind == StatementKind::Reset => {
                 self.state.settings.clear();
-                self.reader.forget();
+                self.reader.clear();
             }
             _ => {}
         }
-        self.state.pinned |= plan.keep;
+        self.state.pinned |= plan.keeps_connection;
     }
 
-    async fn conclude(
+    /// Answers the caller by the outcome, and keeps or releases the lane.
+    async fn answer_outcome(
         &mut self,
         channel: &mut Channel,
         req: &Request,
-        routing: Routing,
+        routing: RouteResult,
         continued: bool,
         deadline: Instant,
     ) -> Result<(), WireError> {
-        let Routing { outcome, lane, on_primary, .. } = routing;
+        let RouteResult { outcome, lane, on_primary, .. } = routing;
         match outcome {
             Outcome::Done { status: byte, .. } => {
-                self.adopt_status(byte, on_primary, lane);
+                self.apply_status(byte, on_primary, lane);
                 if req.end == RequestEnd::Flush {
                     return channel.flush().await;
                 }
@@ -366,23 +377,27 @@
             Outcome::NotRun(reason) => {
                 let lost = continued || reason == NotRun::TransactionLost;
                 let was_open = self.state.transaction != TransactionState::Idle;
-                self.give_up_lane(if lost { None } else { lane });
+                self.release_lane(if lost { None } else { lane });
                 if was_open {
                     self.state.transaction = TransactionState::Failed { on_target: false };
                 }
                 self.fail(channel, req, &not_run_report(reason)).await
             }
             Outcome::Unknown(reason) => {
-                self.give_up_lane(None);
+                self.release_lane(None);
                 self.state.transaction = TransactionState::Idle;
-                log::info!("G0402 a request of {} ended unknown: {reason:?}", self.state.service);
+                log::info!(
+                    "G0402 the outcome of a request to service {} is unknown: {reason:?}",
+                    self.state.service
+                );
                 let late = self.server.fleet.borders().clock.now() >= deadline;
                 self.fail(channel, req, &unknown_report(reason, late)).await
             }
         }
     }
 
-    fn adopt_status(&mut self, byte: u8, on_primary: bool, lane: Option<HeldLane>) {
+    /// Sets the transaction state from a ReadyForQuery status byte.
+    fn apply_status(&mut self, byte: u8, on_primary: bool, lane: Option<HeldLane>) {
         let before = self.state.transaction;
         self.state.batch_open = byte == status::BATCH_OPEN;
         self.state.transaction = match byte {
@@ -392,17 +407,18 @@
             _ => TransactionState::Idle,
         };
         self.state.held = lane;
-        if !self.state.continues() {
+        if !self.state.needs_held_lane() {
             let lane = self.state.held.take();
-            self.give_up_lane(lane);
+            self.release_lane(lane);
         }
     }
 
-    pub(crate) fn give_up_lane(&mut self, lane: Option<HeldLane>) {
+    /// Ends the use of the held lane, and returns `lane` to the pool if there is one.
+    pub(crate) fn release_lane(&mut self, lane: Option<HeldLane>) {
         self.state.held = None;
         self.state.batch_open = false;
         if let Some(lane) = lane {
-            self.server.router.give_back(lane);
+            self.server.router.return_lane(lane);
         }
     }
 }
--- a/crates/gullspar_caller/src/session_failures.rs
+++ b/crates/gullspar_caller/src/session_failures.rs
@@ -1,4 +1,4 @@
-//! How a session tells a caller that a request failed.
+//! Answers to requests that failed.
 
 use gullspar_wire::{Channel, ErrorReport, WireError, caller, ready, status};
 
@@ -9,10 +9,10 @@
 use crate::statement::StatementKind;
 
 impl Session {
-    /// Answers a request of a transaction that is gone, until the caller ends it.
+    /// Answers requests with an error until the caller ends its lost transaction.
     ///
-    /// Answered otherwise, a caller that overlooked the error would run the rest of its transaction
-    /// as single statements.
+    /// Otherwise a caller that overlooks the error would run the rest of its transaction as single
+    /// statements.
     pub(crate) async fn answer_in_lost_transaction(
         &mut self,
         channel: &mut Channel,
@@ -45,11 +45,12 @@
         }
         if matches!(self.state.transaction, TransactionState::Open { .. }) {
             self.state.transaction = TransactionState::Failed { on_target: false };
-            self.give_up_lane(None);
+            self.release_lane(None);
         }
         self.finish(channel, req).await
     }
 
+    /// Sends ReadyForQuery with the transaction's status; a Flush without queued answers gets none.
     pub(crate) async fn finish(
         &mut self,
         channel: &mut Channel,
@@ -68,7 +69,7 @@
     }
 }
 
-/// After an error within a batch the caller's messages are skipped up to its Sync.
+/// Skips the rest of a batch after an error, up to and including its Sync.
 async fn skip_to_sync(channel: &mut Channel) -> Result<(), WireError> {
     channel.flush().await?;
     while channel.next().await?.kind() != caller::SYNC {}
--- a/crates/gullspar_caller/src/session_settings.rs
+++ b/crates/gullspar_caller/src/session_settings.rs
@@ -1,4 +1,4 @@
-//! What a session answers itself: its own settings.
+//! `SET` and `SHOW` of gullspar's own settings, which the session answers itself.
 
 use gullspar_model::Token;
 use gullspar_wire::{Channel, ErrorReport, WireError, parameter_status};
@@ -82,12 +82,14 @@
         }
     }
 
+    /// A token for the session's floor.
     pub(crate) fn token(&self) -> Option<String> {
         let point = self.state.floor?;
         let token = Token { group: self.state.object.group.name.clone(), point };
         Some(self.server.settings.token_key.issue(&token, &self.state.caller))
     }
 
+    /// Queues the session token as a ParameterStatus.
     pub(crate) fn report_token(&self, channel: &mut Channel) {
         if let Some(token) = self.token() {
             parameter_status(channel.outgoing(), LocalSetting::Token.name(), &token);
@@ -95,7 +97,7 @@
     }
 }
 
-/// The command of a request that gullspar answers itself.
+/// The command of a request that the session answers itself.
 pub(crate) fn local_command(req: &Request) -> Option<LocalCommand> {
     let statement = req.statements.first().or(req.described.first())?;
     match &statement.kind {
--- a/crates/gullspar_caller/src/session_state.rs
+++ b/crates/gullspar_caller/src/session_state.rs
@@ -1,4 +1,4 @@
-//! What a session remembers between requests.
+//! State of a session that lasts between requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
     Open {
         on_primary: bool,
     },
-    /// The target failed it, or it was lost; only its end is accepted.
+    /// It failed on the target, or was lost; only COMMIT or ROLLBACK is accepted.
     Failed {
         on_target: bool,
     },
 }
 
-/// A lane that carries this session's transaction or session state.
+/// A lane reserved for this session, because of an open transaction or session state.
 pub(crate) struct HeldLane {
     pub(crate) home: InstanceId,
     pub(crate) lane: Box<dyn Lane>,
@@ -37,7 +37,7 @@
     pub(crate) caller: CallerName,
     pub(crate) class_name: String,
     pub(crate) class: CallerClass,
-    /// What reads must see.
+    /// Log position that reads must have reached.
     pub(crate) floor: Option<LogPoint>,
     /// Whether the floor covers everything that the caller wrote before this session.
     pub(crate) anchored: bool,
@@ -47,17 +47,17 @@
     /// SET statements of the session, replayed on each connection that serves it.
     pub(crate) settings: Vec<String>,
     pub(crate) transaction: TransactionState,
-    /// Whether the session keeps its connection for good.
+    /// Whether the session keeps its connection until it ends.
     pub(crate) pinned: bool,
-    /// Whether a batch was flushed and not yet ended.
+    /// Whether a batch was flushed and its Sync is still to come.
     pub(crate) batch_open: bool,
-    /// Whether the open batch did something that its Sync will commit.
+    /// Whether the open batch made changes that its Sync will commit.
     pub(crate) batch_commits: bool,
     pub(crate) held: Option<HeldLane>,
 }
 
 impl SessionState {
-    /// The oldest data that reads accept, beside the floor.
+    /// Maximum age of the data that reads accept, in milliseconds.
     pub(crate) fn age_limit_ms(&self) -> Option<u64> {
         let class = match self.class.consistency {
             Consistency::MaxAgeMs(limit) => Some(limit),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether the next read must first learn how far the caller's earlier writes went.
+    /// Whether the next read must first set a floor that covers the caller's earlier writes.
     pub(crate) fn needs_anchor(&self) -> bool {
         self.class.consistency == Consistency::ReadYourWrites
             && !self.anchored
@@ -82,13 +82,13 @@
         Duration::from_millis(self.deadline_ms.map_or(class, |own| own.min(class)))
     }
 
-    /// Raises the floor; it never falls.
+    /// Raises the floor to `point`; it is never lowered.
     pub(crate) fn raise_floor(&mut self, point: LogPoint) {
         self.floor = Some(self.floor.map_or(point, |it| it.max(point)));
     }
 
     /// Whether the next request must use the held lane.
-    pub(crate) fn continues(&self) -> bool {
+    pub(crate) fn needs_held_lane(&self) -> bool {
         self.held.is_some()
             && (self.pinned
                 || self.batch_open
--- a/crates/gullspar_caller/src/startup.rs
+++ b/crates/gullspar_caller/src/startup.rs
@@ -1,4 +1,4 @@
-//! From the first byte of a connection to a session.
+//! Start-up messages: session requests, cancel requests and requests for encryption.
 
 use std::collections::BTreeMap;
 
@@ -9,30 +9,30 @@
 };
 
 /// Longest start-up message, in bytes, as in PostgreSQL.
-const STARTUP_LIMIT: usize = 10_000;
+const MAX_STARTUP_BYTES: usize = 10_000;
 
-/// What a connection begins with.
+/// What a connection is opened for.
 pub(crate) enum Opening {
     Session(SessionRequest),
     Cancel { process: i32, secret: i32 },
 }
 
-/// Who wants a session, and with which settings.
+/// The content of a start-up message.
 #[derive(Debug)]
 pub(crate) struct SessionRequest {
     pub(crate) service: ServiceName,
     pub(crate) caller: CallerName,
-    /// Settings given as `-c name=value` or as parameters of their own.
+    /// Settings from `options` (`-c name=value`) and parameters that start with `gullspar.`.
     pub(crate) settings: BTreeMap<String, String>,
 }
 
-/// Reads the opening of a connection; requests for encryption are declined.
-pub(crate) async fn open(channel: &mut Channel) -> Result<Opening, WireError> {
+/// Reads the first message of a connection; requests for encryption before it are declined.
+pub(crate) async fn read_opening(channel: &mut Channel) -> Result<Opening, WireError> {
     loop {
         let mut head = channel.next_raw(8).await?;
         let length = head.get_u32() as usize;
         let code = head.get_u32();
-        if !(8..=STARTUP_LIMIT).contains(&length) {
+        if !(8..=MAX_STARTUP_BYTES).contains(&length) {
             return Err(WireError::Malformed(format!("start-up message of {length} bytes")));
         }
         let body = channel.next_raw(length - 8).await?;
@@ -80,7 +80,7 @@
     })
 }
 
-/// Reads `-c name=value` settings.
+/// Parses settings written as `-c name=value` or `--name=value`.
 fn read_options(text: &str) -> BTreeMap<String, String> {
     let mut words = text.split_whitespace();
     let mut settings = BTreeMap::new();
--- a/crates/gullspar_caller/src/statement.rs
+++ b/crates/gullspar_caller/src/statement.rs
@@ -1,46 +1,46 @@
-//! What a statement does, as far as routing is concerned.
+//! Classified statements.
 
 use gullspar_model::Access;
 
 use crate::local_command::LocalCommand;
 
-/// The kinds of statement that are handled differently.
+/// Kinds of statements, by how they are routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
     /// Reads or writes data.
     Data(Access),
     /// Opens a transaction.
     Begin { read_only: bool },
-    /// Ends a transaction and keeps what it did.
+    /// Commits a transaction.
     Commit,
-    /// Ends a transaction and undoes what it did.
+    /// Rolls a transaction back.
     RollBack,
-    /// Changes a setting of the session, which is replayed on each connection that serves it.
+    /// Changes a session setting; replayed on each connection that serves the session.
     Set,
-    /// Forgets the session's settings.
+    /// Resets the session's settings.
     Reset,
-    /// Leaves something on the connection that can't be replayed.
+    /// Creates session state that can't be replayed on another connection.
     Pinning,
-    /// Is answered by gullspar itself.
+    /// Answered by gullspar itself.
     Local(LocalCommand),
-    /// Is not supported; the text says why.
+    /// Not supported, with the error message.
     Refused(&'static str),
-    /// Several statements at once, or something not understood: runs on the primary as it stands.
+    /// Several statements, or text that can't be parsed; runs on the primary unchanged.
     Script,
 }
 
-/// A classified statement and the marks in its leading comment.
+/// A classified statement, with the marks from its leading comment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     pub kind: StatementKind,
     /// Key of a request that must run at most once.
     pub request_key: Option<String>,
-    /// The caller declares that running it twice does no harm.
+    /// Whether the caller declares that running it twice is harmless.
     pub idempotent: bool,
 }
 
 impl Statement {
-    /// Whether it only reads data.
+    /// Whether the statement only reads data.
     pub fn is_read(&self) -> bool {
         self.kind == StatementKind::Data(Access::Read)
     }
--- a/crates/gullspar_caller/src/statement_visitor.rs
+++ b/crates/gullspar_caller/src/statement_visitor.rs
@@ -1,11 +1,11 @@
-//! Looks through a query for anything that might write.
+//! Searches a query for anything that may write.
 
 use std::ops::ControlFlow;
 
 use sqlparser::ast::{Expr, Query, Select, SetExpr, TableFactor, Visitor};
 
-/// Functions that are known to read only. All others may be anybody's, and may write.
-const READING_FUNCTIONS: [&str; 44] = [
+/// Functions that are known not to write. Any other may be user-defined and write.
+const READ_ONLY_FUNCTIONS: [&str; 44] = [
     "abs",
     "array_agg",
     "avg",
@@ -52,14 +52,14 @@
     "upper",
 ];
 
-/// Breaks off at the first thing that may write.
+/// Visitor that breaks at the first part of a query that may write.
 pub(crate) struct WriteFinder;
 
 impl Visitor for WriteFinder {
     type Break = ();
 
     fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
-        // FOR UPDATE takes locks, which only the primary has.
+        // Row locks (`FOR UPDATE`) can only be taken on the primary.
         if !query.locks.is_empty() {
             return ControlFlow::Break(());
         }
@@ -73,7 +73,7 @@
     fn pre_visit_expr(&mut self, expr: &Expr) -> ControlFlow<()> {
         let Expr::Function(function) = expr else { return ControlFlow::Continue(()) };
         let name = function.name.to_string().to_ascii_lowercase();
-        if READING_FUNCTIONS.contains(&name.as_str()) {
+        if READ_ONLY_FUNCTIONS.contains(&name.as_str()) {
             ControlFlow::Continue(())
         } else {
             ControlFlow::Break(())
--- a/crates/gullspar_caller/src/target_scores.rs
+++ b/crates/gullspar_caller/src/target_scores.rs
@@ -1,4 +1,4 @@
-//! What was seen of targets lately, and which replicas are worth trying by it.
+//! Latency and failures of targets, and the choice of replicas for reads.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,80 +7,82 @@
 use gullspar_border::Entropy;
 use gullspar_model::{DataCentre, GroupSpec, MemberName, MemberSpec, NotRun, Outcome, TargetKey};
 
-/// A target that failed is avoided for so long.
-const AVOID_FOR: Duration = Duration::from_millis(100);
+/// How long a target is avoided after a failure.
+const AVOID_PERIOD: Duration = Duration::from_millis(100);
 
-/// A target whose home can't be reached, or does not hear it, is avoided for so long.
-const AVOID_UNREACHABLE_FOR: Duration = Duration::from_millis(1500);
+/// How long a target is avoided after it or its home was unreachable.
+const AVOID_UNREACHABLE_PERIOD: Duration = Duration::from_millis(1500);
 
-/// Replicas tried for one read before the primary is.
-const REPLICA_TRIES: usize = 2;
+/// Replicas tried for a read before the primary.
+const MAX_REPLICA_ATTEMPTS: usize = 2;
 
-/// One read in this many goes to a random replica, so that one that was slow is noticed when it has
-/// recovered.
+/// One read in this many goes to a random replica, so that the recovery of a slow replica is
+/// detected.
 const EXPLORE_EVERY: u64 = 32;
 
 /// Weight of the newest sample in the running mean of a target's latency, as one part in this many.
 const MEAN_WEIGHT: u32 = 8;
 
-/// What a read at a replica in another data centre is expected to take before one was tried.
-const FAR_AT_FIRST: Duration = Duration::from_millis(1);
+/// Expected latency of a replica in another data centre that was not used yet.
+const DEFAULT_REMOTE_LATENCY: Duration = Duration::from_millis(1);
 
-/// What was seen of a target lately.
+/// Recent latency, load and failures of a target.
 #[derive(Clone, Copy, Default)]
 struct TargetScore {
     mean_latency: Duration,
-    /// Requests of this instance that are on their way there.
+    /// Requests of this instance that are running on the target.
     in_flight: u32,
     avoid_until: Option<Instant>,
 }
 
-/// What this instance's requests have seen of each target.
+/// Scores of targets, updated by the requests of this instance.
 #[derive(Default)]
 pub struct TargetScores {
     scores: RefCell<HashMap<TargetKey, TargetScore>>,
 }
 
 impl TargetScores {
-    /// The replicas of `group` worth trying at `now` for a read of an instance in `own`, best first.
+    /// The replicas of `group` to try for a read, lowest expected latency first.
+    ///
+    /// `data_centre` is the one of this instance. Replicas avoided at `now` are left out.
     pub fn replicas<'g>(
         &self,
         group: &'g GroupSpec,
         primary: Option<&MemberName>,
-        own: &DataCentre,
+        data_centre: &DataCentre,
         entropy: &dyn Entropy,
         now: Instant,
     ) -> Vec<&'g MemberSpec> {
-        let mut able: Vec<&MemberSpec> = group
+        let mut candidates: Vec<&MemberSpec> = group
             .members
             .iter()
             .filter(|it| Some(&it.name) != primary && !it.leaving)
             .filter(|it| self.score(group, &it.name).avoid_until.is_none_or(|at| at <= now))
             .collect();
-        if entropy.next_u64().is_multiple_of(EXPLORE_EVERY) && !able.is_empty() {
-            let turn = entropy.next_u64() as usize % able.len();
-            able.rotate_left(turn);
+        if entropy.next_u64().is_multiple_of(EXPLORE_EVERY) && !candidates.is_empty() {
+            let offset = entropy.next_u64() as usize % candidates.len();
+            candidates.rotate_left(offset);
         } else {
-            able.sort_by_cached_key(|it| self.expected_latency(group, it, own));
+            candidates.sort_by_cached_key(|it| self.expected_latency(group, it, data_centre));
         }
-        able.truncate(REPLICA_TRIES);
-        able
+        candidates.truncate(MAX_REPLICA_ATTEMPTS);
+        candidates
     }
 
-    /// What a read will probably take there; one not tried yet counts as near when it is.
+    /// Expected latency of a read; an unused replica in the same data centre counts as fastest.
     ///
-    /// The mean latency alone lags behind: all reads of a moment would go to the replica that was best
-    /// a moment ago, and while it is swamped the others stand idle. Requests on their way count at once.
+    /// The mean latency alone lags behind: a burst of reads would go to one replica and overload it
+    /// while the others stay idle. Counting the requests in flight spreads the burst.
     fn expected_latency(
         &self,
         group: &GroupSpec,
         member: &MemberSpec,
-        own: &DataCentre,
+        data_centre: &DataCentre,
     ) -> Duration {
         let score = self.score(group, &member.name);
         let mean = score.mean_latency;
-        if mean.is_zero() && member.data_centre != *own {
-            FAR_AT_FIRST
+        if mean.is_zero() && member.data_centre != *data_centre {
+            DEFAULT_REMOTE_LATENCY
         } else {
             mean * (score.in_flight + 1)
         }
@@ -91,8 +93,8 @@
         self.scores.borrow().get(&key).copied().unwrap_or_default()
     }
 
-    /// Notes that a request is on its way to `key`.
-    pub fn depart(&self, key: &TargetKey) {
+    /// Records that a request was sent to `key`.
+    pub fn record_start(&self, key: &TargetKey) {
         let mut scores = self.scores.borrow_mut();
         if !scores.contains_key(key) {
             scores.insert(key.clone(), TargetScore::default());
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Notes how a request that departed ended at `now`, `took` after it did.
-    pub fn learn(&self, key: &TargetKey, outcome: &Outcome, took: Duration, now: Instant) {
+    /// Records the outcome of a request that ended at `now` and took `took`.
+    pub fn record_end(&self, key: &TargetKey, outcome: &Outcome, took: Duration, now: Instant) {
         let mut scores = self.scores.borrow_mut();
         let Some(score) = scores.get_mut(key) else { return };
         score.in_flight = score.in_flight.saturating_sub(1);
@@ -118,12 +120,12 @@
                 score.avoid_until = None;
             }
             Outcome::NotRun(NotRun::Unreachable) => {
-                score.avoid_until = Some(now + AVOID_UNREACHABLE_FOR);
+                score.avoid_until = Some(now + AVOID_UNREACHABLE_PERIOD);
             }
-            // Too old for one caller's class is good enough for another's: avoided by all, a cut-off data
-            // centre's only target would refuse callers that accept any age.
+            // A replica too far behind for one caller may serve another. Avoiding it would refuse callers
+            // that accept data of any age when it is the only target in a partitioned data centre.
             Outcome::NotRun(NotRun::Behind) => {}
-            _ => score.avoid_until = Some(now + AVOID_FOR),
+            _ => score.avoid_until = Some(now + AVOID_PERIOD),
         }
     }
 }
--- a/crates/gullspar_caller/tests/classifier.rs
+++ b/crates/gullspar_caller/tests/classifier.rs
@@ -1,4 +1,4 @@
-//! What counts as a read, and what must go to the primary.
+//! Guards against statements that write being classified as reads.
 
 use gullspar_caller::{Classifier, StatementKind};
 use gullspar_model::Access;
@@ -12,7 +12,7 @@
 #[test_case("SELECT x FROM t; SELECT y FROM u")]
 #[test_case("/* a comment */ SELECT lower(name) FROM t")]
 #[test_case("")]
-fn reads(sql: &str) {
+fn statements_that_only_read_are_reads(sql: &str) {
     assert_eq!(Classifier::default().classify(sql).kind, StatementKind::Data(Access::Read));
 }
 
@@ -20,7 +20,7 @@
 #[test_case("SELECT * FROM t FOR UPDATE"; "locking read")]
 #[test_case("SELECT * FROM (SELECT * FROM t FOR SHARE) AS s"; "locking read within a read")]
 #[test_case("SELECT nextval('s')"; "a function that writes")]
-#[test_case("SELECT anything(1)"; "a function that nobody knows")]
+#[test_case("SELECT anything(1)"; "an unknown function")]
 #[test_case("SELECT * FROM t WHERE x = anything(1)"; "an unknown function in a condition")]
 #[test_case("SELECT * FROM anything(1)"; "a function as a table")]
 #[test_case("SELECT x INTO u FROM t"; "select into")]
@@ -29,12 +29,12 @@
 #[test_case("EXPLAIN ANALYZE DELETE FROM t"; "explain that runs")]
 #[test_case("CALL p()"; "a procedure")]
 #[test_case("something that is no SQL"; "not understood")]
-fn everything_else_is_no_read(sql: &str) {
+fn other_statements_are_not_reads(sql: &str) {
     assert_ne!(Classifier::default().classify(sql).kind, StatementKind::Data(Access::Read));
 }
 
 #[test]
-fn marks_are_read_from_the_leading_comment_only() {
+fn marks_are_parsed_from_the_leading_comment_only() {
     let classifier = Classifier::default();
     let marked = classifier.classify("/* gullspar key=job-1 idempotent */ DELETE FROM t");
     assert_eq!((marked.request_key.as_deref(), marked.idempotent), (Some("job-1"), true));
@@ -53,6 +53,6 @@
 #[test_case("CREATE TEMPORARY TABLE a (x int)", StatementKind::Pinning)]
 #[test_case("PREPARE a AS SELECT 1", StatementKind::Pinning)]
 #[test_case("SELECT pg_advisory_lock(1)", StatementKind::Pinning)]
-fn kinds(sql: &str, wanted: StatementKind) {
-    assert_eq!(Classifier::default().classify(sql).kind, wanted);
+fn statement_kinds(sql: &str, expected: StatementKind) {
+    assert_eq!(Classifier::default().classify(sql).kind, expected);
 }
--- a/crates/gullspar_caller/tests/retry_budget.rs
+++ b/crates/gullspar_caller/tests/retry_budget.rs
@@ -1,18 +1,17 @@
-//! Retries stay a tenth of the load, whatever fails.
+//! Guards against retries that multiply the load during a failure.
 
 use gullspar_caller::RetryBudget;
 
-/// Symptom: the load doubles when everything fails.
-/// Events: a thousand fresh requests, each of which would be tried again as often as it may.
+/// Guards against a load that doubles when all requests fail and each is retried.
 #[test]
-fn under_total_failure_retries_are_a_tenth_of_the_load() {
+fn retries_are_a_tenth_of_the_load_when_all_requests_fail() {
     let budget = RetryBudget::default();
-    // What was saved up in quiet times is spent first.
-    while budget.draw() {}
+    // Consumes the saved retries first.
+    while budget.try_consume() {}
     let mut retries = 0;
     for _ in 0..1000 {
-        budget.fill();
-        while budget.draw() {
+        budget.record_request();
+        while budget.try_consume() {
             retries += 1;
         }
     }
--- a/crates/gullspar_caller/tests/target_scores.rs
+++ b/crates/gullspar_caller/tests/target_scores.rs
@@ -1,4 +1,4 @@
-//! Which replicas are tried for a read, by what was seen of them.
+//! Selection of replicas for reads by latency, load and failures.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 };
 use test_case::test_case;
 
-/// Never draws the turn in which a random replica is tried.
+/// Never selects a random replica.
 struct NeverExplores;
 
 impl Entropy for NeverExplores {
@@ -36,53 +36,52 @@
     TargetKey::new(&GroupName::new("core"), &MemberName::new(member))
 }
 
-/// The replicas that a read of an instance in `c` would try.
-fn tried(scores: &TargetScores, now: Instant) -> Vec<String> {
+/// The replicas selected for a read on an instance in `c`.
+fn selected(scores: &TargetScores, now: Instant) -> Vec<String> {
     let (primary, own) = (MemberName::new("m1"), DataCentre::new("c"));
     let group = group();
     let replicas = scores.replicas(&group, Some(&primary), &own, &NeverExplores, now);
     replicas.into_iter().map(|it| it.name.as_str().to_owned()).collect()
 }
 
-fn ended(scores: &TargetScores, member: &str, outcome: &Outcome, took_ms: u64, now: Instant) {
-    scores.depart(&key(member));
-    scores.learn(&key(member), outcome, Duration::from_millis(took_ms), now);
+fn record(scores: &TargetScores, member: &str, outcome: &Outcome, took_ms: u64, now: Instant) {
+    scores.record_start(&key(member));
+    scores.record_end(&key(member), outcome, Duration::from_millis(took_ms), now);
 }
 
 const DONE: Outcome = Outcome::Done { status: b'I', point: None, age_ms: None };
 
 #[test]
-fn the_replica_at_hand_is_first_until_another_proves_faster() {
+fn the_replica_in_the_same_data_centre_is_first_until_another_is_faster() {
     let (scores, now) = (TargetScores::default(), Instant::now());
-    assert_eq!(tried(&scores, now), ["m3", "m2"]);
-    ended(&scores, "m3", &DONE, 20, now);
-    ended(&scores, "m2", &DONE, 10, now);
-    assert_eq!(tried(&scores, now), ["m2", "m3"]);
+    assert_eq!(selected(&scores, now), ["m3", "m2"]);
+    record(&scores, "m3", &DONE, 20, now);
+    record(&scores, "m2", &DONE, 10, now);
+    assert_eq!(selected(&scores, now), ["m2", "m3"]);
 }
 
-/// Symptom: a burst goes to one replica while another stands idle.
-/// Events: all reads of a moment see the same mean latencies.
+/// Guards against a burst of reads that all go to one replica while another stays idle.
 #[test]
-fn requests_on_their_way_count_at_once() {
+fn requests_in_flight_raise_the_expected_latency() {
     let (scores, now) = (TargetScores::default(), Instant::now());
-    ended(&scores, "m3", &DONE, 10, now);
-    ended(&scores, "m2", &DONE, 15, now);
-    scores.depart(&key("m3"));
-    assert_eq!(tried(&scores, now), ["m2", "m3"]);
+    record(&scores, "m3", &DONE, 10, now);
+    record(&scores, "m2", &DONE, 15, now);
+    scores.record_start(&key("m3"));
+    assert_eq!(selected(&scores, now), ["m2", "m3"]);
 }
 
-/// Each failure has its time. Too old for one caller is none: where all avoided such a replica, callers that
-/// accept any age would be refused by the only one they have.
-#[test_case(&Outcome::NotRun(NotRun::Unreachable), 1500; "out of reach")]
+/// Guards against failed replicas being tried too early, and against avoiding a replica that is only too
+/// far behind for one caller: it may be the only one for callers that accept data of any age.
+#[test_case(&Outcome::NotRun(NotRun::Unreachable), 1500; "unreachable")]
 #[test_case(&Outcome::NotRun(NotRun::DeadlinePassed), 100; "too slow")]
 #[test_case(&Outcome::Unknown(Unknown::ConnectionLost), 100; "lost")]
 #[test_case(&Outcome::NotRun(NotRun::Behind), 0; "behind")]
 fn a_replica_that_failed_is_avoided_for(outcome: &Outcome, avoided_ms: u64) {
     let (scores, now) = (TargetScores::default(), Instant::now());
-    ended(&scores, "m3", outcome, 1, now);
-    let back = now + Duration::from_millis(avoided_ms);
+    record(&scores, "m3", outcome, 1, now);
+    let available_at = now + Duration::from_millis(avoided_ms);
     if avoided_ms > 0 {
-        assert_eq!(tried(&scores, back - Duration::from_millis(1)), ["m2"]);
+        assert_eq!(selected(&scores, available_at - Duration::from_millis(1)), ["m2"]);
     }
-    assert_eq!(tried(&scores, back), ["m3", "m2"]);
+    assert_eq!(selected(&scores, available_at), ["m3", "m2"]);
 }
