--- a/crates/gullspar_caller/src/caller_server.rs
+++ b/crates/gullspar_caller/src/caller_server.rs
@@ -23,7 +23,7 @@
 #[derive(Clone)]
 pub struct CallerSettings {
     /// Maximum number of connected callers.
-    pub limit: u64,
+    pub max_callers: u64,
     /// The key that session tokens are signed with.
     pub token_key: TokenKey,
 }
@@ -101,7 +101,7 @@
                 return Ok(());
             }
         };
-        if self.connected.get() > self.settings.limit {
+        if self.connected.get() > self.settings.max_callers {
             let report = ErrorReport::fatal("53300", "too many callers on this instance")
                 .with_hint("not run; connect again, another instance may have room");
             return startup::refuse(channel, &report).await;
--- a/crates/gullspar_caller/src/caller_sink.rs
+++ b/crates/gullspar_caller/src/caller_sink.rs
@@ -30,7 +30,7 @@
                 return Ok(());
             }
             self.started = true;
-            self.saw_error |= Frame::any(bytes, target::ERROR);
+            self.saw_error |= Frame::contains_kind(bytes, target::ERROR);
             self.channel.queue(bytes);
             if self.channel.queued() >= FLUSH_BYTES {
                 self.channel.flush().await?;
--- a/crates/gullspar_caller/src/request_reader.rs
+++ b/crates/gullspar_caller/src/request_reader.rs
@@ -5,7 +5,8 @@
 
 use bytes::BytesMut;
 use gullspar_wire::{
-    Channel, Frame, LaneFrame, WireError, bind_parts, caller, parse_parts, subject, texts_and_rest,
+    Channel, Frame, LaneFrame, WireError, bind_parts, caller, kind_and_name, parse_parts,
+    texts_and_rest,
 };
 
 use crate::request::{Request, RequestEnd};
@@ -129,7 +130,7 @@
     }
 
     fn describe(&mut self, frame: &Frame, batch: &mut Batch) -> Result<(), WireError> {
-        let (kind, name) = subject(frame)?;
+        let (kind, name) = kind_and_name(frame)?;
         if kind != b'S' {
             batch.add(frame);
             return Ok(());
@@ -160,7 +161,7 @@
     }
 
     fn close(&mut self, frame: &Frame, batch: &mut Batch) -> Result<(), WireError> {
-        let (kind, name) = subject(frame)?;
+        let (kind, name) = kind_and_name(frame)?;
         if kind != b'S' {
             self.portals.remove(name);
             batch.add(frame);
--- a/crates/gullspar_instance/src/instance.rs
+++ b/crates/gullspar_instance/src/instance.rs
@@ -179,7 +179,7 @@
     let cancels = CancelRegistry::new(Rc::clone(&fleet));
     let stats = CallerStats::new(Rc::clone(&fleet.borders().clock));
     let caller_settings = CallerSettings {
-        limit: settings.caller_limit,
+        max_callers: settings.caller_limit,
         token_key: TokenKey::new(&settings.token_secret),
     };
     let callers = CallerServer::new(
--- a/crates/gullspar_lab/src/group/session/extended.rs
+++ b/crates/gullspar_lab/src/group/session/extended.rs
@@ -6,7 +6,7 @@
 use super::sql_text::{settings_tag, word};
 use super::{SqlError, execution, wire};
 use crate::group::sql_result::{SqlColumn, SqlResult};
-use gullspar_wire::{Frame, WireError, bind_parts, caller, parse_parts, subject, target};
+use gullspar_wire::{Frame, WireError, bind_parts, caller, kind_and_name, parse_parts, target};
 
 impl Session {
     pub(super) async fn extended(&mut self, frame: &Frame) -> Result<(), SqlError> {
@@ -31,7 +31,7 @@
                 self.channel.queue(Frame::new(target::BIND_COMPLETE, &[]).bytes());
             }
             caller::DESCRIBE => {
-                let (kind, name) = subject(frame).map_err(broken)?;
+                let (kind, name) = kind_and_name(frame).map_err(broken)?;
                 let columns = if kind == b'S' {
                     let prepared = self.prepared(name)?;
                     let types = wire::parameter_description(&prepared.parameter_types);
@@ -53,7 +53,7 @@
                 wire::rows(&result, self.channel.outgoing());
             }
             caller::CLOSE => {
-                let (kind, name) = subject(frame).map_err(broken)?;
+                let (kind, name) = kind_and_name(frame).map_err(broken)?;
                 if kind == b'S' {
                     self.statements.remove(name);
                 } else {
--- a/crates/gullspar_target/src/exchange.rs
+++ b/crates/gullspar_target/src/exchange.rs
@@ -4,7 +4,7 @@
 
 use bytes::BytesMut;
 use gullspar_wire::{
-    Frame, LaneFrame, WireError, caller, parse_parts, subject, target, texts_and_rest,
+    Frame, LaneFrame, WireError, caller, kind_and_name, parse_parts, target, texts_and_rest,
 };
 
 use crate::TargetConnection;
@@ -83,7 +83,7 @@
                 caller::FLUSH => out.extend_from_slice(frame.bytes()),
                 _ => {
                     if kind == caller::CLOSE
-                        && let (b'S', name) = subject(&frame)?
+                        && let (b'S', name) = kind_and_name(&frame)?
                     {
                         connection.prepared.remove(name);
                     }
--- a/crates/gullspar_target/src/keyed_request.rs
+++ b/crates/gullspar_target/src/keyed_request.rs
@@ -30,12 +30,12 @@
     key: &str,
     payload: &BytesMut,
 ) -> Result<KeyedStart, WireError> {
-    connection.channel.ask("BEGIN").await?;
+    connection.channel.query("BEGIN").await?;
     let Some(report) = write_key(connection, key, payload).await? else {
         return Ok(KeyedStart::First);
     };
     let channel = &mut connection.channel;
-    channel.ask("ROLLBACK").await?;
+    channel.query("ROLLBACK").await?;
     if report.code != TAKEN {
         return Ok(KeyedStart::Refused(report));
     }
@@ -44,7 +44,7 @@
         "SELECT fingerprint, answer FROM gullspar_requests WHERE request_key = {}",
         quoted(key)
     );
-    let rows = channel.ask(&select).await?;
+    let rows = channel.query(&select).await?;
     let mut columns = rows.into_iter().next().unwrap_or_default().into_iter();
     if columns.next().flatten().as_deref() != Some(print.as_str()) {
         let text = "this request key was used for another request";
@@ -85,7 +85,7 @@
         quoted(key),
         fingerprint(payload)
     );
-    match connection.channel.ask(&insert).await {
+    match connection.channel.query(&insert).await {
         Ok(_) => Ok(None),
         Err(WireError::Server(report)) => Ok(Some(report)),
         Err(err) => Err(err),
@@ -104,8 +104,8 @@
         to_hex(&kept),
         quoted(key)
     );
-    connection.channel.ask(&update).await?;
-    connection.channel.ask("COMMIT").await?;
+    connection.channel.query(&update).await?;
+    connection.channel.query("COMMIT").await?;
     Ok(())
 }
 
--- a/crates/gullspar_target/src/local_lane.rs
+++ b/crates/gullspar_target/src/local_lane.rs
@@ -127,7 +127,7 @@
         deadline: Instant,
     ) -> Result<Exchanged, Failure> {
         let head = &unit.head;
-        admitted.checked_out.connection.dirty |= head.dirties;
+        admitted.checked_out.connection.dirty |= head.changes_settings;
         let _slot = if head.continues {
             admitted.pool.slots.enter_now()
         } else {
@@ -194,7 +194,7 @@
                     keyed_request::finish(connection, &key, &answer).await.map_err(lost)?;
                     answer
                 } else {
-                    connection.channel.ask("ROLLBACK").await.map_err(lost)?;
+                    connection.channel.query("ROLLBACK").await.map_err(lost)?;
                     answer
                 };
                 exchanged
@@ -210,7 +210,7 @@
             }
         };
         exchanged.status = status::IDLE;
-        let rows = connection.channel.ask(STATUS_QUERY).await.map_err(lost)?;
+        let rows = connection.channel.query(STATUS_QUERY).await.map_err(lost)?;
         exchanged.after = rows.first().and_then(parse_status);
         Ok(exchanged)
     }
@@ -229,7 +229,7 @@
             return outcome;
         }
         // The connection and its slot are free for others while the answer waits.
-        let pinned = exchanged.status != status::IDLE || head.keep;
+        let pinned = exchanged.status != status::IDLE || head.keep_connection;
         if pinned {
             self.pinned = Some(Pinned { checked_out, watch: watch.guard(), pool, term });
         } else {
--- a/crates/gullspar_target/src/unit_exchange.rs
+++ b/crates/gullspar_target/src/unit_exchange.rs
@@ -61,11 +61,11 @@
     connection: &mut TargetConnection,
     settings: &[String],
 ) -> Result<(), WireError> {
-    connection.channel.ask("DISCARD ALL").await?;
+    connection.channel.query("DISCARD ALL").await?;
     connection.prepared.clear();
     connection.settings.clear();
     for setting in settings {
-        connection.channel.ask(setting).await?;
+        connection.channel.query(setting).await?;
     }
     connection.settings = settings.to_vec();
     Ok(())
--- a/crates/gullspar_wire/src/channel.rs
+++ b/crates/gullspar_wire/src/channel.rs
@@ -113,7 +113,7 @@
     }
 
     /// Runs a statement of our own as a client and gives its rows.
-    pub async fn ask(&mut self, sql: &str) -> Result<Vec<QueryRow>, WireError> {
+    pub async fn query(&mut self, sql: &str) -> Result<Vec<QueryRow>, WireError> {
         self.queue(messages::query(sql).bytes());
         self.flush().await?;
         self.read_answer().await
--- a/crates/gullspar_wire/src/frame.rs
+++ b/crates/gullspar_wire/src/frame.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether any message in `bytes`, which holds whole ones, is of type `kind`.
-    pub fn any(mut bytes: &[u8], kind: u8) -> bool {
+    pub fn contains_kind(mut bytes: &[u8], kind: u8) -> bool {
         while let Ok(Some(header)) = FrameHeader::peek(bytes, usize::MAX) {
             if header.kind == kind {
                 return true;
--- a/crates/gullspar_wire/src/lane_frame.rs
+++ b/crates/gullspar_wire/src/lane_frame.rs
@@ -38,9 +38,9 @@
         /// Whether the unit may make a change permanent: a write outside of a transaction, or a commit.
         pub commits: bool,
         /// Whether the connection stays with the caller after the unit, as for session state.
-        pub keep: bool,
+        pub keep_connection: bool,
         /// Whether the unit changes session settings, so that the connection must be reset after it.
-        pub dirties: bool,
+        pub changes_settings: bool,
         /// SET statements that must be in force on the connection.
         pub settings: Vec<String>,
         pub priority: u8,
--- a/crates/gullspar_wire/src/messages.rs
+++ b/crates/gullspar_wire/src/messages.rs
@@ -141,7 +141,7 @@
 }
 
 /// The kind (`S` or `P`) and the name in a Describe or Close message.
-pub fn subject(message: &Frame) -> Result<(u8, &str), WireError> {
+pub fn kind_and_name(message: &Frame) -> Result<(u8, &str), WireError> {
     let (kind, rest) = message
         .body()
         .split_first()
--- a/crates/gullspar_wire/src/query_client.rs
+++ b/crates/gullspar_wire/src/query_client.rs
@@ -41,7 +41,7 @@
 
     /// Runs one statement and gives its rows.
     pub async fn query(&mut self, sql: &str) -> Result<Vec<QueryRow>, WireError> {
-        self.channel.ask(sql).await
+        self.channel.query(sql).await
     }
 
     /// Gives the connection up to pass messages through.
--- a/crates/gullspar_wire/tests/frames.rs
+++ b/crates/gullspar_wire/tests/frames.rs
@@ -5,8 +5,8 @@
 use bytes::BytesMut;
 use gullspar_model::Outcome;
 use gullspar_wire::{
-    ErrorReport, Frame, LaneFrame, LaneUnit, WireError, bind_parts, parse_parts, row_values,
-    startup_parameters, subject, texts_and_rest,
+    ErrorReport, Frame, LaneFrame, LaneUnit, WireError, bind_parts, kind_and_name, parse_parts,
+    row_values, startup_parameters, texts_and_rest,
 };
 use proptest::prelude::*;
 
@@ -16,7 +16,7 @@
         let mut buf = BytesMut::from(bytes.as_slice());
         while let Ok(Some(frame)) = Frame::take(&mut buf, 1000) {
             // Each decoder either succeeds or tells what is wrong.
-            let _ = (parse_parts(&frame), bind_parts(&frame), subject(&frame), row_values(&frame));
+            let _ = (parse_parts(&frame), bind_parts(&frame), kind_and_name(&frame), row_values(&frame));
             let _ = (frame.first_text(), ErrorReport::decode(&frame));
             let _ = LaneFrame::decode::<LaneUnit>(&frame);
             let _ = LaneFrame::decode::<Outcome>(&frame);
