--- a/crates/gullspar/src/run.rs
+++ b/crates/gullspar/src/run.rs
@@ -42,7 +42,7 @@
     let incarnation = epoch.map_or(1, |it| it.as_millis() as u64);
     match Instance::start(settings, borders, timing, incarnation).await {
         Ok(instance) => {
-            instance.run(gullspar_instance::termination()).await;
+            instance.run(gullspar_instance::termination_signal()).await;
             ExitCode::SUCCESS
         }
         Err(err) => {
--- a/crates/gullspar/src/serve.rs
+++ b/crates/gullspar/src/serve.rs
@@ -30,7 +30,7 @@
     };
     let served = runtime.block_on(async move {
         compio::runtime::spawn(reread(file, settings.clone())).detach();
-        gullspar_platform::serve(settings, gullspar_instance::termination()).await
+        gullspar_platform::serve(settings, gullspar_instance::termination_signal()).await
     });
     log::logger().flush();
     match served {
@@ -48,7 +48,7 @@
 /// what it has.
 async fn reread(file: PathBuf, mut settings: DirectSettings) {
     loop {
-        gullspar_instance::hang_up().await;
+        gullspar_instance::hangup_signal().await;
         match check::read_direct(&file) {
             Ok(fresh) if fresh == settings => {
                 log::info!("G0811 the settings were read anew and are the same");
--- a/crates/gullspar_caller/src/lane_pool.rs
+++ b/crates/gullspar_caller/src/lane_pool.rs
@@ -36,7 +36,7 @@
         deadline: Instant,
     ) -> Result<Box<dyn Lane>, WireError> {
         let idle = self.idle.borrow_mut().get_mut(&home.id).and_then(Vec::pop);
-        match idle.filter(|it| it.is_sound()) {
+        match idle.filter(|it| it.is_usable()) {
             Some(lane) => Ok(lane),
             None => self.lanes.open(home, deadline).await,
         }
--- a/crates/gullspar_caller/src/router.rs
+++ b/crates/gullspar_caller/src/router.rs
@@ -268,7 +268,7 @@
         if self.lanes.heard_since(&home.id, now - HEARD_LATELY) {
             return true;
         }
-        let answers = lane.answers(now + LANE_WITHIN).await;
+        let answers = lane.is_responsive(now + LANE_WITHIN).await;
         if answers {
             self.lanes.heard(&home.id, self.fleet.borders().clock.now());
         }
--- a/crates/gullspar_direct/src/targets/target.rs
+++ b/crates/gullspar_direct/src/targets/target.rs
@@ -112,7 +112,7 @@
     /// Fails if no permit is granted in time, or if the target has stopped taking new work meanwhile.
     pub(crate) async fn admit(&self, req: &Request) -> Result<Permit, NotRun> {
         let requested_at = self.clock.now();
-        let permit = self.admission.enter_by(req.priority, req.objective, req.deadline).await?;
+        let permit = self.admission.acquire_by(req.priority, req.objective, req.deadline).await?;
         self.stats.permit_wait(self.clock.now().saturating_duration_since(requested_at));
         // The target may have stopped taking new work during the wait.
         if self.is_closed_to_new_work() { Err(NotRun::NoPrimary) } else { Ok(permit) }
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -151,7 +151,7 @@
                 return self.fail(refusal::rolled_back("the transaction was lost"));
             };
             // An open transaction may hold locks that others wait for, so it does not queue behind them.
-            let permit = context.target.admission.enter_now();
+            let permit = context.target.admission.acquire_now();
             let result = context.run_raw(req, permit, lease, None).await;
             let (answer, lease) = match result {
                 Ok(answered) => answered,
--- a/crates/gullspar_instance/src/instance.rs
+++ b/crates/gullspar_instance/src/instance.rs
@@ -113,7 +113,7 @@
         let mut tasks = vec![
             compio::runtime::spawn(Rc::clone(&parts.fleet).run()),
             compio::runtime::spawn(Rc::clone(&parts.groups).run()),
-            compio::runtime::spawn(release_foreign(Rc::clone(&parts))),
+            compio::runtime::spawn(release_moved_targets(Rc::clone(&parts))),
             compio::runtime::spawn(serve_peers(peers, Rc::clone(&parts) as _)),
             compio::runtime::spawn(accept_lanes(lanes, Rc::clone(&parts), secret)),
             compio::runtime::spawn(accept_callers(callers, Rc::clone(&parts.callers))),
@@ -219,13 +219,13 @@
 }
 
 /// Gives up targets that moved to another instance, at each change of instances or configuration.
-async fn release_foreign(parts: Rc<Parts>) {
+async fn release_moved_targets(parts: Rc<Parts>) {
     /// Bounds how long a change that fell between two looks stays unnoticed.
     const LOOK_EVERY: Duration = Duration::from_secs(1);
     let clock = Rc::clone(&parts.fleet.borders().clock);
     loop {
         let either = future::select(parts.fleet.listen(), parts.fleet.config.listen());
-        parts.pools.release_foreign();
+        parts.pools.release_moved_targets();
         match within(&*clock, clock.now() + LOOK_EVERY, either).await {
             Ok(Either::Left(_) | Either::Right(_)) | Err(_) => {}
         }
--- a/crates/gullspar_instance/src/termination.rs
+++ b/crates/gullspar_instance/src/termination.rs
@@ -12,14 +12,14 @@
 /// Waits for SIGHUP, by which operators say that the settings file has changed.
 ///
 /// Unless somebody waits for it, the signal ends the process.
-pub async fn hang_up() {
+pub async fn hangup_signal() {
     if compio::signal::unix::signal(HANG_UP).await.is_err() {
         future::pending::<()>().await;
     }
 }
 
 /// Waits for SIGINT or SIGTERM.
-pub async fn termination() {
+pub async fn termination_signal() {
     let interrupt = compio::signal::unix::signal(INTERRUPT);
     let terminate = compio::signal::unix::signal(TERMINATE);
     futures::pin_mut!(interrupt, terminate);
--- a/crates/gullspar_target/src/admission.rs
+++ b/crates/gullspar_target/src/admission.rs
@@ -88,7 +88,7 @@
     ///
     /// A statement that continues a transaction may hold the lock that all permits' holders wait
     /// for; if it had to queue behind them, all would stand still until their deadlines.
-    pub fn enter_now(self: &Rc<Self>) -> Permit {
+    pub fn acquire_now(self: &Rc<Self>) -> Permit {
         self.busy.set(self.busy.get() + 1);
         Permit { admission: Rc::clone(self), granted_at: self.clock.now() }
     }
@@ -97,16 +97,20 @@
     ///
     /// A request that would not be served in time is refused on arrival: answered late it would
     /// still cost its place, and its caller has gone.
-    pub async fn enter(self: &Rc<Self>, priority: u8, deadline: Instant) -> Result<Permit, NotRun> {
-        self.enter_by(priority, deadline, deadline).await
+    pub async fn acquire(
+        self: &Rc<Self>,
+        priority: u8,
+        deadline: Instant,
+    ) -> Result<Permit, NotRun> {
+        self.acquire_by(priority, deadline, deadline).await
     }
 
-    /// Like [`enter`](Admission::enter), for a caller that wants its answer by `objective`.
+    /// Like [`acquire`](Admission::acquire), for a caller that wants its answer by `objective`.
     ///
     /// Of one priority, the earliest objective that can still be met goes first. When more comes than
     /// the target can do, that keeps most requests in time, where the order of arrival would make
     /// all of them late: at 1.4 times the capacity, 0.7 of them are served in time instead of none.
-    pub async fn enter_by(
+    pub async fn acquire_by(
         self: &Rc<Self>,
         priority: u8,
         objective: Instant,
@@ -118,7 +122,7 @@
         }
         let level = usize::from(priority).min(PRIORITIES - 1);
         if self.busy.get() < self.capacity.get() && self.queued() == 0 {
-            return Ok(self.enter_now());
+            return Ok(self.acquire_now());
         }
         let wait = self.expected_wait(level);
         if now + wait * WAIT_MARGIN > deadline {
--- a/crates/gullspar_target/src/lane.rs
+++ b/crates/gullspar_target/src/lane.rs
@@ -47,10 +47,10 @@
     ) -> LocalBoxFuture<'a, Result<Outcome, LaneError>>;
 
     /// Asks the home for a sign of life before something is sent whose outcome must be known.
-    fn answers(&mut self, deadline: Instant) -> LocalBoxFuture<'_, bool>;
+    fn is_responsive(&mut self, deadline: Instant) -> LocalBoxFuture<'_, bool>;
 
     /// Whether the lane may still be used.
-    fn is_sound(&self) -> bool;
+    fn is_usable(&self) -> bool;
 
     /// Asks the target to cancel what the lane is running.
     fn canceller(&self) -> Canceller;
--- a/crates/gullspar_target/src/local_lane.rs
+++ b/crates/gullspar_target/src/local_lane.rs
@@ -129,9 +129,9 @@
         let head = &unit.head;
         admitted.checked_out.connection.dirty |= head.dirties;
         let _slot = if head.continues {
-            admitted.pool.slots.enter_now()
+            admitted.pool.slots.acquire_now()
         } else {
-            admitted.pool.slots.enter(head.priority, deadline).await?
+            admitted.pool.slots.acquire(head.priority, deadline).await?
         };
         if let (Some(term), false) = (admitted.term, head.continues) {
             // The queue may have taken long; what was checked on arrival is checked again.
@@ -330,11 +330,11 @@
         async move { Ok(self.run_unit(unit, sink).await) }.boxed_local()
     }
 
-    fn answers(&mut self, _: Instant) -> LocalBoxFuture<'_, bool> {
+    fn is_responsive(&mut self, _: Instant) -> LocalBoxFuture<'_, bool> {
         std::future::ready(true).boxed_local()
     }
 
-    fn is_sound(&self) -> bool {
+    fn is_usable(&self) -> bool {
         true
     }
 
--- a/crates/gullspar_target/src/pools.rs
+++ b/crates/gullspar_target/src/pools.rs
@@ -71,7 +71,7 @@
     ///
     /// Done on each change of membership: the new home opens its own, and the target accepts only
     /// so many.
-    pub fn release_foreign(&self) {
+    pub fn release_moved_targets(&self) {
         for watch in self.groups.watches() {
             for member in &watch.spec().members {
                 let key = TargetKey::new(&watch.name(), &member.name);
--- a/crates/gullspar_target/src/remote_lane.rs
+++ b/crates/gullspar_target/src/remote_lane.rs
@@ -94,7 +94,7 @@
         .boxed_local()
     }
 
-    fn answers(&mut self, deadline: Instant) -> LocalBoxFuture<'_, bool> {
+    fn is_responsive(&mut self, deadline: Instant) -> LocalBoxFuture<'_, bool> {
         async move {
             let clock = Rc::clone(&self.fleet.borders().clock);
             let echo = async {
@@ -108,7 +108,7 @@
         .boxed_local()
     }
 
-    fn is_sound(&self) -> bool {
+    fn is_usable(&self) -> bool {
         self.channel.is_quiet()
     }
 
--- a/crates/gullspar_target/src/target_pool.rs
+++ b/crates/gullspar_target/src/target_pool.rs
@@ -93,7 +93,7 @@
         head: &LaneUnit,
         deadline: Instant,
     ) -> Result<CheckedOut, NotRun> {
-        let permit = self.connections.enter(head.priority, deadline).await?;
+        let permit = self.connections.acquire(head.priority, deadline).await?;
         let connection = match self.take_idle(head.access) {
             Some(connection) => connection,
             None => self.open(deadline).await?,
--- a/crates/gullspar_target/tests/admission.rs
+++ b/crates/gullspar_target/tests/admission.rs
@@ -36,7 +36,7 @@
                 let arrived = Instant::now();
                 let deadline = arrived + DEADLINE;
                 let objective = if by_objective { arrived + OBJECTIVE } else { deadline };
-                let Ok(permit) = admission.enter_by(1, objective, deadline).await else { return };
+                let Ok(permit) = admission.acquire_by(1, objective, deadline).await else { return };
                 compio::time::sleep(WORK).await;
                 drop(permit);
                 if arrived.elapsed() <= OBJECTIVE {
@@ -74,13 +74,13 @@
         let admission = Admission::new(clock, 1);
         for _ in 0..3 {
             let deadline = Instant::now() + DEADLINE;
-            let permit = admission.enter(1, deadline).await.unwrap();
+            let permit = admission.acquire(1, deadline).await.unwrap();
             compio::time::sleep(Duration::from_millis(60)).await;
             drop(permit);
         }
-        let _held = admission.enter(1, Instant::now() + DEADLINE).await.unwrap();
+        let _held = admission.acquire(1, Instant::now() + DEADLINE).await.unwrap();
         let asked = Instant::now();
-        let refused = admission.enter(1, asked + Duration::from_millis(100)).await;
+        let refused = admission.acquire(1, asked + Duration::from_millis(100)).await;
         assert!(refused.is_err());
         assert!(asked.elapsed() < Duration::from_millis(20), "took {:?}", asked.elapsed());
     });
--- a/crates/gullsparctl/src/lab_command.rs
+++ b/crates/gullsparctl/src/lab_command.rs
@@ -58,7 +58,7 @@
         .detach();
         wait_until_led(&lab).await;
         println!("{addresses}");
-        let ended = gullspar_lab::termination();
+        let ended = gullspar_lab::termination_signal();
         futures::pin_mut!(ended);
         loop {
             match future::select(ended, rx.next()).await {
