--- a/crates/gullspar_target/src/admission.rs
+++ b/crates/gullspar_target/src/admission.rs
@@ -1,4 +1,4 @@
-//! A queue before something scarce, with a deadline for each request.
+//! Admission control: a limited number of permits, granted by priority and deadline.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -12,24 +12,23 @@
 /// Number of priorities.
 const PRIORITIES: usize = CallerClass::LOWEST_PRIORITY as usize + 1;
 
-/// One grant in this many goes to the most tolerant class that waits, so that none starves.
-const FAIR_EVERY: u32 = 8;
+/// One grant in this many goes to the lowest priority that is waiting, to prevent starvation.
+const GRANTS_PER_FAIR_GRANT: u32 = 8;
 
-/// Longest queue, in requests for each unit of capacity.
-const QUEUE_PER_CAPACITY: usize = 64;
+/// Maximum number of queued requests for each unit of capacity.
+const MAX_QUEUED_PER_CAPACITY: usize = 64;
 
-/// How many times the expected wait must fit before the deadline.
+/// A request is queued only if this multiple of the expected wait ends before its deadline.
 ///
-/// The expectation is a mean. Admitted up to the deadline itself, requests at the end of the queue ran into
-/// it as often as not, and were refused only then.
-const WAIT_MARGIN: u32 = 2;
+/// The expected wait is a mean, so many requests wait longer than that.
+const WAIT_SAFETY_FACTOR: u32 = 2;
 
-/// Weight of the newest sample in the running mean of service times, as one part in this many.
-const MEAN_WEIGHT: u32 = 8;
+/// Divisor of the newest sample's weight in the running mean of holding times.
+const MEAN_WEIGHT_DIVISOR: u32 = 8;
 
 struct Waiter {
     tx: oneshot::Sender<Result<(), NotRun>>,
-    /// When its caller wants the answer; later it is worth less.
+    /// When its caller wants the answer; may be before the deadline.
     objective: Instant,
 }
 
@@ -44,14 +43,14 @@
     queues: RefCell<[VecDeque<Waiter>; PRIORITIES]>,
 }
 
-/// The right to use one unit; given back when dropped.
+/// The right to use one unit of capacity; released when dropped.
 pub struct Permit {
     admission: Rc<Admission>,
     granted_at: Instant,
 }
 
 impl Admission {
-    /// An admission of `capacity` at once.
+    /// Grants up to `capacity` permits at a time, but at least one.
     pub fn new(clock: Rc<dyn Clock>, capacity: u32) -> Rc<Admission> {
         Rc::new(Admission {
             clock,
@@ -63,31 +62,31 @@
         })
     }
 
-    /// Changes the capacity; permits already granted stay so.
+    /// Changes the capacity; permits already granted stay valid.
     pub fn set_capacity(&self, capacity: u32) {
         self.capacity.set(capacity.max(1));
         self.grant_waiting();
     }
 
-    /// Permits that may be granted at once.
+    /// Number of permits that can be held at a time.
     pub fn capacity(&self) -> u32 {
         self.capacity.get()
     }
 
-    /// Permits granted now.
+    /// Number of permits that are held.
     pub fn busy(&self) -> u32 {
         self.busy.get()
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn queued(&self) -> usize {
         self.queues.borrow().iter().map(VecDeque::len).sum()
     }
 
-    /// Takes a permit although none may be free, for work that others wait upon.
+    /// Takes a permit without waiting, even above the capacity.
     ///
-    /// A statement that continues a transaction may hold the lock that all permits' holders wait
-    /// for; if it had to queue behind them, all would stand still until their deadlines.
+    /// For statements that continue a transaction: the transaction may hold a lock that the holders
+    /// of all permits wait for, so queueing it would block them all until their deadlines.
     pub fn acquire_now(self: &Rc<Self>) -> Permit {
         self.busy.set(self.busy.get() + 1);
         Permit { admission: Rc::clone(self), granted_at: self.clock.now() }
@@ -95,8 +94,10 @@
 
     /// Waits for a permit until `deadline`.
     ///
-    /// A request that would not be served in time is refused on arrival: answered late it would
-    /// still cost its place, and its caller has gone.
+    /// # Errors
+    ///
+    /// Fails at once with [`NotRun::Overloaded`] if the expected wait is too long for the deadline
+    /// or the queue is full, and with [`NotRun::DeadlinePassed`] at the deadline.
     pub async fn acquire(
         self: &Rc<Self>,
         priority: u8,
@@ -107,9 +108,9 @@
 
     /// Like [`acquire`](Admission::acquire), for a caller that wants its answer by `objective`.
     ///
-    /// Of one priority, the earliest objective that can still be met goes first. When more comes than
-    /// the target can do, that keeps most requests in time, where the order of arrival would make
-    /// all of them late: at 1.4 times the capacity, 0.7 of them are served in time instead of none.
+    /// Within a priority, the earliest objective that can still be met is served first. Under
+    /// overload this keeps most requests in time, where the order of arrival would make nearly all
+    /// of them late.
     pub async fn acquire_by(
         self: &Rc<Self>,
         priority: u8,
@@ -125,10 +126,10 @@
             return Ok(self.acquire_now());
         }
         let wait = self.expected_wait(level);
-        if now + wait * WAIT_MARGIN > deadline {
+        if now + wait * WAIT_SAFETY_FACTOR > deadline {
             return Err(overloaded(wait));
         }
-        self.make_room(level, wait)?;
+        self.shed_if_full(level, wait)?;
         let (tx, rx) = oneshot::channel();
         if let Some(queue) = self.queues.borrow_mut().get_mut(level) {
             queue.push_back(Waiter { tx, objective });
@@ -142,7 +143,7 @@
         }
     }
 
-    /// How long a newcomer of this level would wait, by what was seen lately.
+    /// Estimates how long a new request of this priority would wait, from recent holding times.
     fn expected_wait(&self, level: usize) -> Duration {
         let queues = self.queues.borrow();
         let ahead: usize = queues.iter().take(level + 1).map(VecDeque::len).sum();
@@ -150,28 +151,30 @@
         Duration::from_micros(rounds / u64::from(self.capacity.get()))
     }
 
-    /// Sheds the newest request of the most tolerant class when the queue is full.
-    fn make_room(&self, level: usize, wait: Duration) -> Result<(), NotRun> {
-        let limit = self.capacity.get() as usize * QUEUE_PER_CAPACITY;
+    /// If the queue is full, refuses the newest request of the lowest priority below `level`.
+    ///
+    /// Fails if the queue is full and no request of a lower priority waits.
+    fn shed_if_full(&self, level: usize, wait: Duration) -> Result<(), NotRun> {
+        let limit = self.capacity.get() as usize * MAX_QUEUED_PER_CAPACITY;
         if self.queued() < limit {
             return Ok(());
         }
         let mut queues = self.queues.borrow_mut();
-        let tolerant = queues.iter_mut().skip(level + 1).rev().find(|it| !it.is_empty());
-        let Some(shed) = tolerant.and_then(VecDeque::pop_back) else {
+        let lower_priority = queues.iter_mut().skip(level + 1).rev().find(|it| !it.is_empty());
+        let Some(shed) = lower_priority.and_then(VecDeque::pop_back) else {
             return Err(overloaded(wait));
         };
-        // Its receiver may have reached its deadline at this very moment; then it has its answer.
+        // Sending fails if the request has reached its deadline and was refused for that.
         let _ = shed.tx.send(Err(overloaded(wait)));
         Ok(())
     }
 
-    fn leave(&self, granted_at: Instant) {
+    fn release(&self, granted_at: Instant) {
         let held = self.clock.now().saturating_duration_since(granted_at);
         let mean = self.mean_held_us.get();
         let sample = held.as_micros() as u64;
-        let weight = u64::from(MEAN_WEIGHT);
-        let mean = if mean == 0 { sample } else { (mean * (weight - 1) + sample) / weight };
+        let divisor = u64::from(MEAN_WEIGHT_DIVISOR);
+        let mean = if mean == 0 { sample } else { (mean * (divisor - 1) + sample) / divisor };
         self.mean_held_us.set(mean);
         self.busy.set(self.busy.get() - 1);
         self.grant_waiting();
@@ -179,36 +182,36 @@
 
     fn grant_waiting(&self) {
         while self.busy.get() < self.capacity.get() {
-            let Some(waiter) = self.pick() else { return };
+            let Some(waiter) = self.next_waiter() else { return };
             self.busy.set(self.busy.get() + 1);
             if waiter.tx.send(Ok(())).is_err() {
-                // It gave up at its deadline; the permit goes to the next.
+                // The request has passed its deadline; grant the permit to the next one.
                 self.busy.set(self.busy.get() - 1);
             }
         }
     }
 
-    fn pick(&self) -> Option<Waiter> {
+    fn next_waiter(&self) -> Option<Waiter> {
         let now = self.clock.now();
         let mut queues = self.queues.borrow_mut();
         let grants = self.grants.get().wrapping_add(1);
         self.grants.set(grants);
-        let fair = grants.is_multiple_of(FAIR_EVERY);
+        let is_fair_grant = grants.is_multiple_of(GRANTS_PER_FAIR_GRANT);
         let mut waiting = queues.iter_mut().filter(|it| !it.is_empty());
-        if fair {
+        if is_fair_grant {
             return waiting.next_back().and_then(VecDeque::pop_front);
         }
         let queue = waiting.next()?;
-        let met_until = now + Duration::from_micros(self.mean_held_us.get());
-        queue.remove(most_urgent(queue, met_until))
+        let earliest_finish = now + Duration::from_micros(self.mean_held_us.get());
+        queue.remove(most_urgent(queue, earliest_finish))
     }
 }
 
-/// The place of the waiter to go next: the earliest objective that lies after `met_until`, or, where
-/// none does, the first that came.
-fn most_urgent(queue: &VecDeque<Waiter>, met_until: Instant) -> usize {
-    let in_time = queue.iter().enumerate().filter(|(_, it)| it.objective > met_until);
-    in_time.min_by_key(|(_, it)| it.objective).map_or(0, |(at, _)| at)
+/// Index of the waiter with the earliest objective after `earliest_finish`, or 0 (the first to
+/// arrive) if there is none.
+fn most_urgent(queue: &VecDeque<Waiter>, earliest_finish: Instant) -> usize {
+    let in_time = queue.iter().enumerate().filter(|(_, it)| it.objective > earliest_finish);
+    in_time.min_by_key(|(_, it)| it.objective).map_or(0, |(index, _)| index)
 }
 
 fn overloaded(wait: Duration) -> NotRun {
@@ -217,6 +220,6 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.admission.leave(self.granted_at);
+        self.admission.release(self.granted_at);
     }
 }
--- a/crates/gullspar_target/src/exchange.rs
+++ b/crates/gullspar_target/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Matching a target's answers to what was asked of it.
+//! Matches a target's answers to the messages that were sent to it.
 
 use std::collections::VecDeque;
 
@@ -9,65 +9,69 @@
 
 use crate::TargetConnection;
 
-/// An answer that is still to come.
+/// An answer that the target has yet to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Expected {
-    /// The end of a step: pass it on.
+    /// The end of a step that the caller requested; forwarded.
     Step { parsed: Option<String> },
-    /// The end of a step that the caller did not ask for: keep it back.
+    /// The end of a step that the caller did not request; not forwarded.
     Hidden { parsed: Option<String> },
-    /// A completion that the target need not send, because the statement was prepared already.
+    /// ParseComplete sent by the proxy, because the connection has the statement prepared already.
     Synthetic,
     /// ReadyForQuery.
     Ready,
 }
 
-/// What to do with a message of the target.
+/// What to do with a message from the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// Pass it to the caller.
+pub(crate) enum FrameAction {
+    /// Forward it to the caller.
     Forward,
-    /// Keep it from the caller.
+    /// Drop it.
     Hide,
-    /// It ends the unit; its body is the transaction status.
+    /// End of the unit, with the transaction status byte of ReadyForQuery.
     Ready(u8),
 }
 
-/// One unit's messages on their way, and the answers still due.
+/// Tracks the answers that are due for one unit's messages.
 #[derive(Debug, Default)]
 pub(crate) struct Exchange {
     expected: VecDeque<Expected>,
 }
 
 impl Exchange {
-    /// Rewrites a unit's messages for `connection` into `out`.
+    /// Writes a unit's messages to `out`, without Parse messages that `connection` does not need.
     ///
-    /// Statements carry names made of their text, so a connection that has one already needs no
-    /// second Parse, whoever prepared it.
+    /// Statement names are derived from the statement's text, so a statement prepared for one
+    /// caller can be used by any other.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a message is malformed.
     pub(crate) fn prepare(
         &mut self,
         mut payload: BytesMut,
         connection: &mut TargetConnection,
         out: &mut BytesMut,
     ) -> Result<(), WireError> {
-        let mut preparing: Vec<String> = Vec::new();
+        let mut newly_prepared: Vec<String> = Vec::new();
         while let Some(frame) = Frame::take(&mut payload, usize::MAX)? {
             let kind = frame.kind();
             match kind {
                 caller::PARSE | LaneFrame::SILENT_PARSE => {
                     let (name, sql, types) = parse_parts(&frame)?;
                     let silent = kind == LaneFrame::SILENT_PARSE;
-                    let known = !name.is_empty()
+                    let is_prepared = !name.is_empty()
                         && (connection.prepared.contains(name)
-                            || preparing.iter().any(|it| it == name));
-                    if known {
+                            || newly_prepared.iter().any(|it| it == name));
+                    if is_prepared {
                         if !silent {
                             self.expected.push_back(Expected::Synthetic);
                         }
                         continue;
                     }
                     let parsed = (!name.is_empty()).then(|| name.to_owned());
-                    preparing.extend(parsed.clone());
+                    newly_prepared.extend(parsed.clone());
                     let message = texts_and_rest(caller::PARSE, &[name, sql], types);
                     out.extend_from_slice(message.bytes());
                     self.expected.push_back(if silent {
@@ -95,8 +99,8 @@
         Ok(())
     }
 
-    /// Completions due before the target's next message.
-    pub(crate) fn synthetic(&mut self) -> Vec<Frame> {
+    /// Takes the ParseComplete messages due before the target's next message.
+    pub(crate) fn take_synthetic(&mut self) -> Vec<Frame> {
         let mut frames = Vec::new();
         while self.expected.front() == Some(&Expected::Synthetic) {
             self.expected.pop_front();
@@ -105,22 +109,26 @@
         frames
     }
 
-    /// Whether nothing more is due, as after a Flush.
-    pub(crate) fn is_settled(&self) -> bool {
+    /// Whether no more answers are due, as after a Flush.
+    pub(crate) fn is_complete(&self) -> bool {
         self.expected.is_empty()
     }
 
-    /// Judges a message of the target.
-    pub(crate) fn judge(&mut self, frame: &Frame, connection: &mut TargetConnection) -> Verdict {
+    /// Removes the answer that `frame` completes and decides what to do with the frame.
+    pub(crate) fn handle_answer(
+        &mut self,
+        frame: &Frame,
+        connection: &mut TargetConnection,
+    ) -> FrameAction {
         match frame.kind() {
             target::READY => {
                 self.expected.clear();
-                Verdict::Ready(frame.body().first().copied().unwrap_or(0))
+                FrameAction::Ready(frame.body().first().copied().unwrap_or(0))
             }
             target::ERROR => {
                 // The target skips everything up to the next Sync.
                 self.expected.retain(|it| *it == Expected::Ready);
-                Verdict::Forward
+                FrameAction::Forward
             }
             target::PARSE_COMPLETE
             | target::BIND_COMPLETE
@@ -129,25 +137,25 @@
             | target::ROW_DESCRIPTION
             | target::COMMAND_COMPLETE
             | target::EMPTY_QUERY
-            | target::PORTAL_SUSPENDED => self.finish_step(connection),
-            _ => Verdict::Forward,
+            | target::PORTAL_SUSPENDED => self.complete_step(connection),
+            _ => FrameAction::Forward,
         }
     }
 
-    fn finish_step(&mut self, connection: &mut TargetConnection) -> Verdict {
+    fn complete_step(&mut self, connection: &mut TargetConnection) -> FrameAction {
         match self.expected.front() {
             Some(Expected::Step { parsed }) => {
                 connection.prepared.extend(parsed.clone());
                 self.expected.pop_front();
-                Verdict::Forward
+                FrameAction::Forward
             }
             Some(Expected::Hidden { parsed }) => {
                 connection.prepared.extend(parsed.clone());
                 self.expected.pop_front();
-                Verdict::Hide
+                FrameAction::Hide
             }
-            // Within a simple query steps end without being announced.
-            _ => Verdict::Forward,
+            // A simple query ends any number of steps that were not queued as expected.
+            _ => FrameAction::Forward,
         }
     }
 }
--- a/crates/gullspar_target/src/keyed_request.rs
+++ b/crates/gullspar_target/src/keyed_request.rs
@@ -1,30 +1,30 @@
 //! Requests that must run at most once.
 //!
-//! The key is written to the target in the same transaction as the request, so that the two stand or
-//! fall together, through any failover. See `docs/design/at-most-once.md`.
+//! The key is written to the target in the same transaction as the request, so both commit or
+//! neither does, also across a failover. See `docs/design/at-most-once.md`.
 
 use bytes::BytesMut;
 use gullspar_wire::{ErrorReport, Frame, WireError, caller, command_complete, target};
 
 use crate::TargetConnection;
 
-/// Most of an answer that is kept with its key, in bytes.
-const ANSWER_LIMIT: usize = 8 * 1024;
+/// Maximum size of the rows and completion stored with a key, in bytes.
+const MAX_STORED_ANSWER_BYTES: usize = 8 * 1024;
 
-/// SQLSTATE of a key that is taken: unique violation.
-const TAKEN: &str = "23505";
+/// SQLSTATE reported if the key exists already.
+const UNIQUE_VIOLATION: &str = "23505";
 
-/// What the key tells.
+/// Result of writing a request's key.
 pub(crate) enum KeyedStart {
-    /// Nobody ran it; a transaction with the key is open.
+    /// The request has not run; a transaction that holds the key is open.
     First,
-    /// It ran before; this was its answer.
+    /// The request ran before, with this answer.
     Repeated { answer: BytesMut },
-    /// The key can't be used.
+    /// The key can't be used; the error is for the caller.
     Refused(ErrorReport),
 }
 
-/// Opens a transaction and writes the key, or finds what came of it earlier.
+/// Opens a transaction and writes the key, or reads the stored answer if the key exists.
 pub(crate) async fn start(
     connection: &mut TargetConnection,
     key: &str,
@@ -36,28 +36,29 @@
     };
     let channel = &mut connection.channel;
     channel.ask("ROLLBACK").await?;
-    if report.code != TAKEN {
+    if report.code != UNIQUE_VIOLATION {
         return Ok(KeyedStart::Refused(report));
     }
-    let print = fingerprint(payload);
+    let request_fingerprint = fingerprint(payload);
     let select = format!(
         "SELECT fingerprint, answer FROM gullspar_requests WHERE request_key = {}",
         quoted(key)
     );
     let rows = channel.ask(&select).await?;
     let mut columns = rows.into_iter().next().unwrap_or_default().into_iter();
-    if columns.next().flatten().as_deref() != Some(print.as_str()) {
+    if columns.next().flatten().as_deref() != Some(request_fingerprint.as_str()) {
         let text = "this request key was used for another request";
         return Ok(KeyedStart::Refused(ErrorReport::error("22023", text)));
     }
-    let kept = columns.next().flatten().unwrap_or_default();
-    Ok(KeyedStart::Repeated { answer: replay(payload, &from_hex(&kept)) })
+    let stored = columns.next().flatten().unwrap_or_default();
+    Ok(KeyedStart::Repeated { answer: replay(payload, &from_hex(&stored)) })
 }
 
-/// Writes the key within a transaction that the caller opened; gives the error that it failed with.
+/// Writes the key within a transaction that the caller opened; returns the target's error if it
+/// refused.
 ///
-/// The transaction as a whole then runs at most once. Its first answer can't be repeated, since it
-/// spans several requests; a second attempt learns that it committed.
+/// The transaction as a whole then runs at most once. It spans several requests, so no answer is
+/// stored; a second attempt gets an error that says that the transaction has committed.
 pub(crate) async fn claim_in_transaction(
     connection: &mut TargetConnection,
     key: &str,
@@ -65,16 +66,19 @@
 ) -> Result<Option<ErrorReport>, WireError> {
     let refused = write_key(connection, key, payload).await?;
     Ok(refused.map(|report| {
-        if report.code == TAKEN {
-            ErrorReport::error(TAKEN, "a transaction with this request key has committed already")
-                .with_hint("done; do not repeat it")
+        if report.code == UNIQUE_VIOLATION {
+            ErrorReport::error(
+                UNIQUE_VIOLATION,
+                "a transaction with this request key has committed already",
+            )
+            .with_hint("done; do not repeat it")
         } else {
             report
         }
     }))
 }
 
-/// Writes the key; gives the target's error if it refused.
+/// Writes the key; returns the target's error if it refused.
 async fn write_key(
     connection: &mut TargetConnection,
     key: &str,
@@ -92,16 +96,16 @@
     }
 }
 
-/// Keeps the answer with the key and commits both with the request.
+/// Stores the answer with the key and commits the request's transaction.
 pub(crate) async fn finish(
     connection: &mut TargetConnection,
     key: &str,
     answer: &BytesMut,
 ) -> Result<(), WireError> {
-    let kept = kept_part(answer);
+    let stored = storable_part(answer);
     let update = format!(
         "UPDATE gullspar_requests SET answer = '{}' WHERE request_key = {}",
-        to_hex(&kept),
+        to_hex(&stored),
         quoted(key)
     );
     connection.channel.ask(&update).await?;
@@ -109,8 +113,8 @@
     Ok(())
 }
 
-/// The rows and the completion of an answer; of a long one the completion alone.
-fn kept_part(answer: &BytesMut) -> BytesMut {
+/// Extracts the rows and the completion of an answer; if they are too long, only the completion.
+fn storable_part(answer: &BytesMut) -> BytesMut {
     let mut rows = BytesMut::new();
     let mut completion = BytesMut::new();
     let mut rest = answer.clone();
@@ -121,18 +125,18 @@
             _ => {}
         }
     }
-    if rows.len() + completion.len() > ANSWER_LIMIT {
+    if rows.len() + completion.len() > MAX_STORED_ANSWER_BYTES {
         return completion;
     }
     rows.extend_from_slice(&completion);
     rows
 }
 
-/// Answers a repeated request's messages with what the first one brought.
-fn replay(payload: &BytesMut, kept: &[u8]) -> BytesMut {
+/// Answers a repeated request's messages with the stored answer.
+fn replay(payload: &BytesMut, stored: &[u8]) -> BytesMut {
     let mut description = BytesMut::new();
     let mut rows = BytesMut::new();
-    let mut rest = BytesMut::from(kept);
+    let mut rest = BytesMut::from(stored);
     while let Ok(Some(frame)) = Frame::take(&mut rest, usize::MAX) {
         let part =
             if frame.kind() == target::ROW_DESCRIPTION { &mut description } else { &mut rows };
@@ -166,7 +170,7 @@
     answer
 }
 
-/// Tells two requests under one key apart.
+/// Identifies a request's content, to detect a key that is reused for another request.
 fn fingerprint(payload: &BytesMut) -> String {
     format!("{:032x}", xxhash_rust::xxh3::xxh3_128(payload))
 }
--- a/crates/gullspar_target/src/lane.rs
+++ b/crates/gullspar_target/src/lane.rs
@@ -1,4 +1,4 @@
-//! The way from a caller's session to a target's connection, on this instance or another.
+//! Lanes carry units of work from a caller's session to a target, through this instance or another.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -11,52 +11,52 @@
 
 use crate::{LocalLane, Pools, RemoteLane};
 
-/// A unit of work: its head and the messages that the caller sent.
+/// A unit of work: a header and the messages that the caller sent.
 #[derive(Clone, Debug)]
 pub struct Unit {
     pub head: LaneUnit,
     pub payload: BytesMut,
 }
 
-/// Takes what a target answers.
+/// Receives the messages that a target answers.
 pub trait FrameSink {
-    /// Passes whole messages on; fails when the receiver has gone.
+    /// Forwards whole messages; fails if the receiver has disconnected.
     fn push<'a>(&'a mut self, bytes: &'a [u8]) -> LocalBoxFuture<'a, Result<(), WireError>>;
 }
 
-/// The lane itself broke, so that nothing is known of what it carried.
+/// The lane failed while it carried a unit.
 #[derive(Debug)]
 pub struct LaneError {
-    /// Whether the unit may have reached the home.
+    /// Whether the unit may have reached the home; if not, it did not run.
     pub sent: bool,
     pub source: WireError,
 }
 
-/// Cancels what a lane is running at the moment of the call.
+/// Cancels the unit that the lane is running at the time of the call.
 pub type Canceller = Rc<dyn Fn()>;
 
-/// Carries units to one target, one after the other.
+/// Runs units on one target, one at a time.
 ///
-/// A transaction stays on its lane from the first statement to the last.
+/// All statements of a transaction run on the same lane.
 pub trait Lane {
-    /// Runs a unit; what the target answers goes to `sink` as it comes.
+    /// Runs a unit and streams the target's answer to `sink`.
     fn run<'a>(
         &'a mut self,
         unit: &'a Unit,
         sink: &'a mut dyn FrameSink,
     ) -> LocalBoxFuture<'a, Result<Outcome, LaneError>>;
 
-    /// Asks the home for a sign of life before something is sent whose outcome must be known.
+    /// Checks that the home answers by `deadline`; used before a unit whose outcome must be known.
     fn is_responsive(&mut self, deadline: Instant) -> LocalBoxFuture<'_, bool>;
 
-    /// Whether the lane may still be used.
+    /// Whether the lane can run another unit.
     fn is_usable(&self) -> bool;
 
-    /// Asks the target to cancel what the lane is running.
+    /// Returns a function that asks the target to cancel the running unit.
     fn canceller(&self) -> Canceller;
 }
 
-/// Opens lanes.
+/// Opens lanes to this instance or to others.
 pub struct Lanes {
     pub(crate) fleet: Rc<Fleet>,
     pub(crate) pools: Rc<Pools>,
@@ -64,17 +64,21 @@
 }
 
 impl Lanes {
-    /// Lanes from this instance, which greets others with `secret`.
+    /// Creates a factory whose lanes authenticate to other instances with `secret`.
     pub fn new(fleet: Rc<Fleet>, pools: Rc<Pools>, secret: String) -> Rc<Lanes> {
         Rc::new(Lanes { fleet, pools, secret })
     }
 
-    /// The pools of this instance.
+    /// Pools of the targets that this instance is home of.
     pub fn pools(&self) -> &Rc<Pools> {
         &self.pools
     }
 
-    /// Opens a lane to `home`.
+    /// Opens a lane to `home`, which may be this instance.
+    ///
+    /// # Errors
+    ///
+    /// Fails if `home` can't be reached by `deadline` or refuses the secret.
     pub async fn open(
         &self,
         home: &gullspar_model::InstanceRecord,
--- a/crates/gullspar_target/src/lane_server.rs
+++ b/crates/gullspar_target/src/lane_server.rs
@@ -1,4 +1,4 @@
-//! The home's end of lanes.
+//! Serves lanes that other instances open to this one, the home of their targets.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,12 +15,12 @@
 /// The lanes that other instances have open to this one.
 #[derive(Default)]
 pub struct ActiveLanes {
-    next: Cell<u64>,
+    next_number: Cell<u64>,
     cancellers: RefCell<HashMap<u64, Canceller>>,
 }
 
 impl ActiveLanes {
-    /// Cancels what lane `number` is running.
+    /// Cancels the unit that lane `number` is running, if any.
     pub fn cancel(&self, number: u64) {
         let canceller = self.cancellers.borrow().get(&number).cloned();
         if let Some(cancel) = canceller {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// How many lanes are open.
+    /// Number of open lanes.
     pub fn len(&self) -> usize {
         self.cancellers.borrow().len()
     }
@@ -40,6 +40,8 @@
 }
 
 /// Serves one lane until the other instance closes it.
+///
+/// The other instance must authenticate with `secret`.
 pub async fn serve_lanes(
     link: Box<dyn Link>,
     pools: Rc<Pools>,
@@ -47,8 +49,8 @@
     secret: String,
 ) {
     let mut channel = Channel::new(link, Channel::DEFAULT_LIMIT);
-    let number = active.next.get();
-    active.next.set(number + 1);
+    let number = active.next_number.get();
+    active.next_number.set(number + 1);
     match serve(&mut channel, &pools, &active, number, &secret).await {
         Ok(()) | Err(WireError::Closed) => {}
         Err(err) => log::debug!("G0304 lane {number} ended: {err}"),
@@ -65,7 +67,7 @@
 ) -> Result<(), WireError> {
     let hello = channel.next().await?;
     if hello.kind() != LaneFrame::HELLO || hello.body() != secret.as_bytes() {
-        log::warn!("G0305 a lane was refused: its greeting is not that of an instance");
+        log::warn!("G0305 a lane was refused: its first message does not carry the lane secret");
         return Ok(());
     }
     channel.queue(LaneFrame::hello_answer(number)?.bytes());
@@ -81,7 +83,7 @@
             continue;
         }
         if frame.kind() != LaneFrame::UNIT {
-            return Err(WireError::Malformed("a unit was due on a lane".to_owned()));
+            return Err(WireError::Malformed("expected a unit on a lane".to_owned()));
         }
         let head: LaneUnit = LaneFrame::decode(&frame)?;
         let payload = channel.next_raw(head.payload as usize).await?;
@@ -99,10 +101,10 @@
     }
 }
 
-/// Answers gather up to this size before they are sent, in bytes.
-const GATHER: usize = 8 * 1024;
+/// Buffered answers of at least this size are sent, in bytes.
+const FLUSH_THRESHOLD_BYTES: usize = 8 * 1024;
 
-/// Passes a target's answer on to the other instance.
+/// Forwards a target's answer to the other instance.
 struct ChannelSink<'c> {
     channel: &'c mut Channel,
 }
@@ -111,7 +113,7 @@
     fn push<'a>(&'a mut self, bytes: &'a [u8]) -> LocalBoxFuture<'a, Result<(), WireError>> {
         async move {
             self.channel.queue(bytes);
-            if self.channel.queued() >= GATHER {
+            if self.channel.queued() >= FLUSH_THRESHOLD_BYTES {
                 self.channel.flush().await?;
             }
             Ok(())
--- a/crates/gullspar_target/src/lib.rs
+++ b/crates/gullspar_target/src/lib.rs
@@ -1,7 +1,8 @@
-//! The connections to targets: who may use them, in which order, and what comes of it.
+//! Connection pools for targets, admission to them, and the execution of units of work.
 //!
-//! Each target's connections are held by one instance, its home; the others reach them over lanes.
-//! `docs/design/scarce-connections.md` tells why.
+//! Each target's connections are held by one instance, its home; other instances use them over
+//! lanes.
+//! `docs/design/scarce-connections.md` explains why.
 
 mod admission;
 mod exchange;
--- a/crates/gullspar_target/src/local_lane.rs
+++ b/crates/gullspar_target/src/local_lane.rs
@@ -17,18 +17,18 @@
 use crate::keyed_request::{self, KeyedStart};
 use crate::lane::{Canceller, FrameSink, Lane, LaneError, Unit};
 use crate::target_pool::{CheckedOut, TargetPool};
-use crate::unit_exchange::{Collector, Exchanged, Failure, apply_settings, exchange_plain};
+use crate::unit_exchange::{Collector, ExchangeResult, Failure, apply_settings, exchange_messages};
 
-/// A unit that may run now.
+/// What a unit needs in order to run.
 struct Admitted {
     watch: WatchGuard,
     pool: Rc<TargetPool>,
-    /// The term under which a unit on the primary runs.
+    /// Term under which a unit on the primary runs; `None` for a replica.
     term: Option<Term>,
     checked_out: CheckedOut,
 }
 
-/// A connection kept from one unit to the next.
+/// A connection held between units of a transaction or a session that keeps it.
 struct Pinned {
     checked_out: CheckedOut,
     watch: WatchGuard,
@@ -36,7 +36,7 @@
     term: Option<Term>,
 }
 
-/// What a cancel request for the running statement needs.
+/// Identifies the running statement in a cancel request.
 #[derive(Clone)]
 struct CancelTarget {
     address: SocketAddr,
@@ -49,12 +49,12 @@
     pools: Rc<Pools>,
     pinned: Option<Pinned>,
     running: Rc<RefCell<Option<CancelTarget>>>,
-    /// Made once, since every request asks for it.
+    /// Created once, since every request needs it.
     canceller: Canceller,
 }
 
 impl LocalLane {
-    /// A lane without a connection.
+    /// Creates a lane that holds no connection.
     pub fn new(pools: Rc<Pools>) -> LocalLane {
         let running = Rc::default();
         let canceller = canceller(&pools, &running);
@@ -80,10 +80,11 @@
         *self.running.borrow_mut() = None;
         match result {
             Ok(exchanged) => {
-                self.conclude(&unit.head, admitted, exchanged, sink, started, deadline).await
+                self.finish_unit(&unit.head, admitted, exchanged, sink, started, deadline).await
             }
             Err(Failure::NotRun(reason)) => Outcome::NotRun(reason),
-            // The transaction never reached its commit, and with the connection it is gone.
+            // The transaction did not reach its commit. The target rolls it back when the connection
+            // ends.
             Err(Failure::Lost(_)) if in_transaction && !unit.head.commits => {
                 Outcome::NotRun(NotRun::TransactionLost)
             }
@@ -97,16 +98,20 @@
             let Pinned { checked_out, watch, pool, term } = pinned;
             return Ok(Admitted { watch, pool, term, checked_out });
         }
-        // A pinned connection that the caller no longer counts on is in no known state.
+        // The caller has abandoned the pinned connection, whose state is not known.
         self.pinned = None;
         let (watch, pool) = self.pools.pool(&head.group, &head.member)?;
         let watch = watch.guard();
         let term = check_leadership(&watch, head)?;
         if !head.on_primary {
             if watch.is_silent(&head.member) {
-                // A dial into a cut, or a statement to a target that hangs, would use up the time in
-                // which another target could serve the read.
-                log::debug!("G0309 {} of {} is silent and takes no read", head.member, head.group);
+                // Connecting to a partitioned target, or waiting for a hung one, would use up the time
+                // in which another target could serve the read.
+                log::debug!(
+                    "G0309 {} of {} is silent; the read was refused",
+                    head.member,
+                    head.group
+                );
                 return Err(NotRun::Unreachable);
             }
             let clock = &self.pools.fleet.borders().clock;
@@ -125,7 +130,7 @@
         sink: &mut dyn FrameSink,
         started: Instant,
         deadline: Instant,
-    ) -> Result<Exchanged, Failure> {
+    ) -> Result<ExchangeResult, Failure> {
         let head = &unit.head;
         admitted.checked_out.connection.dirty |= head.dirties;
         let _slot = if head.continues {
@@ -134,7 +139,7 @@
             admitted.pool.slots.acquire(head.priority, deadline).await?
         };
         if let (Some(term), false) = (admitted.term, head.continues) {
-            // The queue may have taken long; what was checked on arrival is checked again.
+            // The leader may have changed while the unit was queued.
             check_leadership(&admitted.watch, head)?;
             if head.requirement.confirm {
                 admitted.watch.wait_confirmed(term, started, deadline).await?;
@@ -142,7 +147,7 @@
         }
         let clock = Rc::clone(&self.pools.fleet.borders().clock);
         let connection = &mut admitted.checked_out.connection;
-        // Within a transaction the connection is this session's already, and could not be reset.
+        // Within a transaction the connection has the session's settings and can't be reset.
         if connection.settings != head.settings && !head.continues {
             let apply = apply_settings(connection, &head.settings);
             let applied = within(&*clock, deadline, apply).await;
@@ -165,19 +170,19 @@
                 let mut held = BytesMut::new();
                 report.encode(&mut held);
                 let (status, error) = (status::FAILED, Some(report.code));
-                return Ok(Exchanged { held, status, error, ..Exchanged::default() });
+                return Ok(ExchangeResult { held, status, error, ..ExchangeResult::default() });
             }
         }
-        let run = exchange_plain(unit, connection, sink);
+        let run = exchange_messages(unit, connection, sink);
         within(&*clock, deadline, run).await.unwrap_or(Err(Failure::Lost(Unknown::DeadlinePassed)))
     }
 
-    /// Runs a request that must run at most once, in one transaction with its key.
+    /// Runs a request that must run at most once, in the transaction that writes its key.
     async fn exchange_keyed(
         &self,
         unit: &Unit,
         connection: &mut crate::TargetConnection,
-    ) -> Result<Exchanged, Failure> {
+    ) -> Result<ExchangeResult, Failure> {
         let lost = |_| Failure::Lost(Unknown::ConnectionLost);
         let Some(key) = unit.head.request_key.as_deref() else {
             return Err(Failure::NotRun(NotRun::Unreachable));
@@ -187,7 +192,7 @@
         let mut exchanged = match start.map_err(|_| NotRun::ConnectionLost)? {
             KeyedStart::First => {
                 let mut collected = Collector::default();
-                let mut exchanged = exchange_plain(unit, connection, &mut collected).await?;
+                let mut exchanged = exchange_messages(unit, connection, &mut collected).await?;
                 let mut answer = collected.bytes;
                 answer.extend_from_slice(&exchanged.held);
                 exchanged.held = if exchanged.error.is_none() {
@@ -200,13 +205,13 @@
                 exchanged
             }
             KeyedStart::Repeated { answer } => {
-                Exchanged { held: answer, holding: true, ..Exchanged::default() }
+                ExchangeResult { held: answer, holding: true, ..ExchangeResult::default() }
             }
             KeyedStart::Refused(report) => {
                 let mut held = BytesMut::new();
                 report.encode(&mut held);
                 let error = Some(report.code);
-                Exchanged { held, holding: true, error, ..Exchanged::default() }
+                ExchangeResult { held, holding: true, error, ..ExchangeResult::default() }
             }
         };
         exchanged.status = status::IDLE;
@@ -215,11 +220,11 @@
         Ok(exchanged)
     }
 
-    async fn conclude(
+    async fn finish_unit(
         &mut self,
         head: &LaneUnit,
         admitted: Admitted,
-        exchanged: Exchanged,
+        exchanged: ExchangeResult,
         sink: &mut dyn FrameSink,
         started: Instant,
         deadline: Instant,
@@ -228,12 +233,12 @@
         if let Some(outcome) = refused_by_target(head, &exchanged) {
             return outcome;
         }
-        // The connection and its slot are free for others while the answer waits.
+        // Released before waiting for the acknowledgement, so that others can use the connection.
         let pinned = exchanged.status != status::IDLE || head.keep;
         if pinned {
             self.pinned = Some(Pinned { checked_out, watch: watch.guard(), pool, term });
         } else {
-            checked_out.give_back();
+            checked_out.check_in();
         }
         let mut point = None;
         if head.acknowledge && exchanged.status == status::IDLE && exchanged.error.is_none() {
@@ -247,66 +252,73 @@
             None
         } else {
             watch.age(&head.member).map(|it| {
-                let since = watch.elapsed(started);
-                (it + since).as_millis() as u64
+                let elapsed = watch.elapsed(started);
+                (it + elapsed).as_millis() as u64
             })
         };
         if sink.push(&exchanged.held).await.is_err() {
-            // The caller has gone; nobody needs the answer.
+            // The caller has disconnected, so the transaction can't continue.
             self.pinned = None;
         }
         Outcome::Done { status: exchanged.status, point, age_ms }
     }
 }
 
-/// Checks that a unit for the primary may be sent to this member, and under which term.
+/// Checks that a unit may run on this member.
+///
+/// Returns the leader's term for a unit on the primary, and `None` for one on a replica.
+///
+/// # Errors
+///
+/// Fails if the member is not the group's leader, or if its leadership is not confirmed as the unit
+/// requires.
 fn check_leadership(watch: &GroupWatch, head: &LaneUnit) -> Result<Option<Term>, NotRun> {
     if !head.on_primary {
         return Ok(None);
     }
     let leader = watch.leader().ok_or(NotRun::NoPrimary)?;
-    let leads = watch
+    let is_primary = watch
         .view(&head.member)
         .and_then(|it| it.status)
         .is_some_and(|it| it.is_primary_in(leader.term));
-    if leader.member != head.member || !leads {
+    if leader.member != head.member || !is_primary {
         return Err(NotRun::NotPrimary);
     }
     if head.requirement.floor.is_some_and(|it| it.term > leader.term) {
-        // The session has seen a later leader than this instance knows of.
+        // The session has seen a newer leader than the one that this instance knows.
         return Err(NotRun::NotPrimary);
     }
     if let Some(max_age_ms) = head.requirement.max_age_ms
         && !watch.confirmed_within(leader.term, Duration::from_millis(max_age_ms))
     {
-        // A primary that was superseded long ago still answers, with data as old as that.
+        // A superseded primary may still answer, with data older than the unit allows.
         return Err(NotRun::NoMajority);
     }
     if head.access == Access::Write && !watch.has_responsive_majority(leader.term) {
-        // Sent now, the write could take effect and never be acknowledged: its caller would be
-        // left with an unknown outcome where a clear refusal is possible.
+        // Without a majority the write could take effect but not be acknowledged. Refusing it gives
+        // the caller a definite outcome.
         return Err(NotRun::NoMajority);
     }
     Ok(Some(leader.term))
 }
 
-/// Whether the target itself said that nothing of the unit ran.
-fn refused_by_target(head: &LaneUnit, exchanged: &Exchanged) -> Option<Outcome> {
-    /// Codes with which a target turns a statement away before running it: it is read-only, or
-    /// shutting down, or starting up.
-    const TURNED_AWAY: [&str; 4] = ["25006", "57P01", "57P02", "57P03"];
+/// Returns the outcome if the target's error says that the unit did not run.
+fn refused_by_target(head: &LaneUnit, exchanged: &ExchangeResult) -> Option<Outcome> {
+    /// SQLSTATEs of a target that refuses a statement without running it, because it is read-only,
+    /// shutting down or starting up.
+    const REFUSED_BEFORE_RUNNING: [&str; 4] = ["25006", "57P01", "57P02", "57P03"];
     let code = exchanged.error.as_deref()?;
-    if !head.on_primary || !TURNED_AWAY.contains(&code) {
+    if !head.on_primary || !REFUSED_BEFORE_RUNNING.contains(&code) {
         return None;
     }
     let reason = if head.continues { NotRun::TransactionLost } else { NotRun::NotPrimary };
     Some(Outcome::NotRun(reason))
 }
 
-/// Waits for the fate of what a unit wrote or read on a primary.
+/// Waits until the log position that a unit reached on a primary is acknowledged or undone.
 async fn settle(
     watch: &GroupWatch,
-    exchanged: &Exchanged,
+    exchanged: &ExchangeResult,
     term: Option<Term>,
     deadline: Instant,
 ) -> Settled {
@@ -314,8 +326,8 @@
         return Settled::Unknown(Unknown::Superseded);
     };
     if !after.is_primary_in(term) {
-        // The member was fenced between the commit and this reading, which then tells nothing of
-        // where the commit stands in the log.
+        // The member was fenced between the commit and the status query, so the reported position
+        // does not say whether the log contains the commit.
         return Settled::Unknown(Unknown::Superseded);
     }
     watch.settle(LogPoint { term, position: after.position }, deadline).await
@@ -343,14 +355,13 @@
     }
 }
 
-/// Makes what cancels the statement that `running` names at the time.
+/// Creates a function that cancels the statement in `running` at the time of the call.
 fn canceller(pools: &Pools, running: &Rc<RefCell<Option<CancelTarget>>>) -> Canceller {
     let running = Rc::clone(running);
     let borders = pools.fleet.borders().clone();
     Rc::new(move || {
         let Some(running) = running.borrow().clone() else { return };
-        // From now on the connection never serves another caller: the target may act on the request
-        // late.
+        // The target may process the request late, so the connection must not serve another caller.
         running.cancelled.set(true);
         let borders = borders.clone();
         compio::runtime::spawn(async move {
@@ -359,7 +370,7 @@
                 return;
             };
             let message = gullspar_wire::cancel_request(running.key);
-            // A cancel request has no answer; the statement goes on if it gets lost.
+            // A cancel request has no answer; if it is lost, the statement keeps running.
             let _ = within(&*borders.clock, deadline, link.send(message)).await;
         })
         .detach();
--- a/crates/gullspar_target/src/pools.rs
+++ b/crates/gullspar_target/src/pools.rs
@@ -1,4 +1,4 @@
-//! The pools of all targets that this instance is home of.
+//! The pools of the targets that this instance is home of.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,11 +10,14 @@
 
 use crate::TargetPool;
 
-/// What operators see of a pool.
+/// Load of a pool, as reported to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolReport {
+    /// Open connections, in use or idle.
     pub connections: u32,
+    /// Statements that are running.
     pub busy_slots: u32,
+    /// Requests waiting for a connection or a slot.
     pub queued: u32,
 }
 
@@ -26,12 +29,16 @@
 }
 
 impl Pools {
-    /// No pools yet; each is made at first use.
+    /// Creates an empty set; each pool is created at first use.
     pub fn new(fleet: Rc<Fleet>, groups: Rc<GroupManager>) -> Rc<Pools> {
         Rc::new(Pools { fleet, groups, pools: RefCell::default() })
     }
 
-    /// The pool of a target, if this instance is its home.
+    /// Returns the pool of a target and the watch of its group.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`NotRun::NotHome`] if this instance is not the target's home.
     pub(crate) fn pool(
         &self,
         group: &GroupName,
@@ -42,14 +49,14 @@
         let spec = spec.member(member).ok_or(NotRun::NotHome)?;
         let key = TargetKey::new(group, member);
         if !self.fleet.is_home(&key, &spec.data_centre) {
-            // Connections held by two instances at once could exceed what the target accepts.
-            self.drop_pool(&key);
+            // Connections of two instances together could exceed the target's limit.
+            self.remove_pool(&key);
             return Err(NotRun::NotHome);
         }
         let mut pools = self.pools.borrow_mut();
         let pool = match pools.get(&key) {
             Some(pool) => {
-                pool.adopt(spec);
+                pool.apply_spec(spec);
                 Rc::clone(pool)
             }
             None => {
@@ -63,31 +70,31 @@
         Ok((watch, pool))
     }
 
-    fn drop_pool(&self, key: &TargetKey) {
+    fn remove_pool(&self, key: &TargetKey) {
         self.pools.borrow_mut().remove(key);
     }
 
-    /// Gives up the connections of targets whose home is another instance now.
+    /// Drops the pools of targets whose home is now another instance.
     ///
-    /// Done on each change of membership: the new home opens its own, and the target accepts only
-    /// so many.
+    /// Must be called on each change of membership: the new home opens its own connections, and the
+    /// target accepts a limited number.
     pub fn release_moved_targets(&self) {
         for watch in self.groups.watches() {
             for member in &watch.spec().members {
                 let key = TargetKey::new(&watch.name(), &member.name);
                 if !self.fleet.is_home(&key, &member.data_centre) {
-                    self.drop_pool(&key);
+                    self.remove_pool(&key);
                 }
             }
         }
     }
 
-    /// Connections in use at all targets.
+    /// Connections in use, over all targets.
     pub fn busy(&self) -> u32 {
         self.pools.borrow().values().map(|it| it.connections()).sum()
     }
 
-    /// What a target's pool is doing.
+    /// Load of a target's pool; zeros if this instance has no pool for it.
     pub fn report(&self, group: &GroupName, member: &MemberName) -> PoolReport {
         let pools = self.pools.borrow();
         let pool = pools.get(&TargetKey::new(group, member));
--- a/crates/gullspar_target/src/remote_lane.rs
+++ b/crates/gullspar_target/src/remote_lane.rs
@@ -13,21 +13,22 @@
 
 use crate::lane::{Canceller, FrameSink, Lane, LaneError, Unit};
 
-/// How much longer than the unit's deadline its home may take to answer; the home keeps the deadline
-/// itself, this only bounds the wait for one that has died.
-const SLACK: Duration = Duration::from_millis(300);
+/// Time after a unit's deadline in which its home may still answer.
+///
+/// The home enforces the deadline; this only bounds the wait for a home that has failed.
+const HOME_GRACE_PERIOD: Duration = Duration::from_millis(300);
 
-/// A connection to the home of a target.
+/// Runs units over a connection to the target's home.
 pub struct RemoteLane {
     fleet: Rc<Fleet>,
     channel: Channel,
     peer: std::net::SocketAddr,
-    /// The home's number for this lane.
+    /// Number that the home assigned to this lane; identifies it in cancel requests.
     number: Rc<Cell<u64>>,
 }
 
 impl RemoteLane {
-    /// Connects to `home`.
+    /// Connects to `home` and authenticates with `secret`.
     pub(crate) async fn open(
         fleet: &Rc<Fleet>,
         home: &InstanceRecord,
@@ -38,12 +39,12 @@
         let link = borders.dialer.dial(home.lane, deadline).await?;
         let mut channel = Channel::new(link, Channel::DEFAULT_LIMIT);
         channel.queue(LaneFrame::hello(secret).bytes());
-        let greet = async {
+        let hello = async {
             channel.flush().await?;
             channel.next().await
         };
-        let timeout = |_| WireError::Io(std::io::ErrorKind::TimedOut.into());
-        let answer = within(&*borders.clock, deadline, greet).await.map_err(timeout)??;
+        let timed_out = |_| WireError::Io(std::io::ErrorKind::TimedOut.into());
+        let answer = within(&*borders.clock, deadline, hello).await.map_err(timed_out)??;
         let number = LaneFrame::decode::<u64>(&answer)?;
         Ok(RemoteLane {
             fleet: Rc::clone(fleet),
@@ -69,11 +70,11 @@
             if frame.kind() == LaneFrame::OUTCOME {
                 return LaneFrame::decode(&frame).map_err(lost);
             }
-            self.pass_on(frame, sink).await.map_err(lost)?;
+            self.forward(frame, sink).await.map_err(lost)?;
         }
     }
 
-    async fn pass_on(&mut self, frame: Frame, sink: &mut dyn FrameSink) -> Result<(), WireError> {
+    async fn forward(&mut self, frame: Frame, sink: &mut dyn FrameSink) -> Result<(), WireError> {
         sink.push(frame.bytes()).await
     }
 }
@@ -86,7 +87,8 @@
     ) -> LocalBoxFuture<'a, Result<Outcome, LaneError>> {
         async move {
             let clock = Rc::clone(&self.fleet.borders().clock);
-            let deadline = clock.now() + Duration::from_millis(unit.head.remaining_ms) + SLACK;
+            let deadline =
+                clock.now() + Duration::from_millis(unit.head.remaining_ms) + HOME_GRACE_PERIOD;
             within(&*clock, deadline, self.exchange(unit, sink))
                 .await
                 .unwrap_or(Ok(Outcome::Unknown(Unknown::DeadlinePassed)))
@@ -121,7 +123,7 @@
             let deadline = borders.clock.now() + Duration::from_secs(1);
             let req = PeerRequest::CancelLane { lane: number.get() };
             let call = borders.peers.call(peer, req, deadline);
-            // A cancel request has no answer; the statement goes on if it gets lost.
+            // A cancel request is best effort; if it is lost, the statement keeps running.
             compio::runtime::spawn(async move { drop(call.await) }).detach();
         })
     }
--- a/crates/gullspar_target/src/target_pool.rs
+++ b/crates/gullspar_target/src/target_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one target.
+//! The connection pool of one target.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -12,36 +12,36 @@
 
 use crate::{Admission, Permit, TargetConnection};
 
-/// How long a connection counts as being there after it served.
-const TRUSTED_FOR: Duration = Duration::from_millis(20);
+/// How long after its last use an idle connection is used for reads without a check.
+const UNCHECKED_PERIOD: Duration = Duration::from_millis(20);
 
-/// Connections left for observers and promotions, out of those that a target accepts.
-const RESERVED: u32 = 6;
+/// Connections of a target that are kept free for status queries and promotions.
+const RESERVED_CONNECTIONS: u32 = 6;
 
-/// A connection taken out of a pool, with the right to have it.
+/// A connection taken from a pool, with the permit to use it.
 pub(crate) struct CheckedOut {
     pub(crate) connection: TargetConnection,
     pool: Rc<TargetPool>,
     _permit: Permit,
 }
 
-/// The connections to one target, held by its home.
+/// The connections to one target; only the target's home has a pool for it.
 pub struct TargetPool {
     clock: Rc<dyn Clock>,
     dialer: Rc<dyn Dialer>,
     address: Cell<SocketAddr>,
     idle: RefCell<Vec<TargetConnection>>,
-    /// Permits for connections, one for each transaction.
+    /// Permits for connections; a transaction holds one from start to end.
     connections: Rc<Admission>,
-    /// Permits for statements that run at the same time.
+    /// Permits for statements that run concurrently.
     pub(crate) slots: Rc<Admission>,
 }
 
 impl TargetPool {
-    /// The account that pooled connections use.
+    /// Database user of pooled connections.
     pub const USER: &'static str = "gullspar";
 
-    /// A pool for `spec` without connections yet.
+    /// Creates a pool for `spec`, without connections.
     pub fn new(clock: Rc<dyn Clock>, dialer: Rc<dyn Dialer>, spec: &MemberSpec) -> Rc<TargetPool> {
         Rc::new(TargetPool {
             connections: Admission::new(Rc::clone(&clock), usable_connections(spec)),
@@ -53,17 +53,17 @@
         })
     }
 
-    /// Takes over a changed configuration of the target.
-    pub(crate) fn adopt(&self, spec: &MemberSpec) {
+    /// Applies the current configuration of the target.
+    pub(crate) fn apply_spec(&self, spec: &MemberSpec) {
         self.connections.set_capacity(usable_connections(spec));
         self.slots.set_capacity(spec.slots);
         if self.address.replace(spec.address) != spec.address {
-            self.forget_idle();
+            self.close_idle();
         }
     }
 
-    /// Closes idle connections, as after a failure that broke them all.
-    pub(crate) fn forget_idle(&self) {
+    /// Closes all idle connections.
+    pub(crate) fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
@@ -77,7 +77,7 @@
         self.connections.busy() + self.idle.borrow().len() as u32
     }
 
-    /// Statements running.
+    /// Statements that are running.
     pub fn busy_slots(&self) -> u32 {
         self.slots.busy()
     }
@@ -87,7 +87,7 @@
         (self.connections.queued() + self.slots.queued()) as u32
     }
 
-    /// Takes a connection, opening one where none is idle.
+    /// Takes an idle connection, or opens one if there is none.
     pub(crate) async fn check_out(
         self: &Rc<Self>,
         head: &LaneUnit,
@@ -101,16 +101,16 @@
         Ok(CheckedOut { connection, pool: Rc::clone(self), _permit: permit })
     }
 
-    /// An idle connection that is still there.
+    /// Takes an idle connection that the target has not closed.
     ///
-    /// One that served a moment ago is not looked at again for a read, which can be repeated; the
-    /// look is a call to the system for each statement.
+    /// The check costs a system call. It is skipped for reads, which can be retried, on a
+    /// connection that was used within [`UNCHECKED_PERIOD`].
     fn take_idle(&self, access: Access) -> Option<TargetConnection> {
         let mut idle = self.idle.borrow_mut();
-        let recent = self.clock.now() - TRUSTED_FOR;
+        let unchecked_from = self.clock.now() - UNCHECKED_PERIOD;
         while let Some(connection) = idle.pop() {
-            let trusted = access == Access::Read && connection.given_back_at >= recent;
-            if trusted || connection.channel.is_quiet() {
+            let skip_check = access == Access::Read && connection.idle_since >= unchecked_from;
+            if skip_check || connection.channel.is_quiet() {
                 return Some(connection);
             }
         }
@@ -120,19 +120,22 @@
     async fn open(&self, deadline: Instant) -> Result<TargetConnection, NotRun> {
         let dialled = self.dialer.dial(self.address.get(), deadline).await;
         let link = dialled.map_err(|err| {
-            log::debug!("G0302 dialling {} failed: {err}", self.address.get());
+            log::debug!("G0302 connecting to target {} failed: {err}", self.address.get());
             NotRun::Unreachable
         })?;
         let start = QueryClient::start(link, TargetPool::USER, "postgres");
         let started =
             within(&*self.clock, deadline, start).await.map_err(|_| NotRun::DeadlinePassed)?;
         let client = started.map_err(|err| match err {
-            // The target is full all the same, say because a former home still holds connections.
+            // All connections are taken, for example because a former home still holds some.
             WireError::Server(report) if report.code == "53300" => {
                 NotRun::Overloaded { retry_after_ms: 100 }
             }
             other => {
-                log::debug!("G0303 starting on {} failed: {other}", self.address.get());
+                log::debug!(
+                    "G0303 starting a session on target {} failed: {other}",
+                    self.address.get()
+                );
                 NotRun::Unreachable
             }
         })?;
@@ -144,7 +147,7 @@
             cancel_key,
             cancelled: Rc::default(),
             dirty: false,
-            given_back_at: self.clock.now(),
+            idle_since: self.clock.now(),
         })
     }
 
@@ -154,15 +157,15 @@
 }
 
 impl CheckedOut {
-    /// Gives the connection back for the next caller.
-    pub(crate) fn give_back(mut self) {
+    /// Returns the connection to the pool if another caller can use it, and closes it otherwise.
+    pub(crate) fn check_in(mut self) {
         if self.connection.is_clean() {
-            self.connection.given_back_at = self.pool.clock.now();
+            self.connection.idle_since = self.pool.clock.now();
             self.pool.idle.borrow_mut().push(self.connection);
         }
     }
 }
 
 fn usable_connections(spec: &MemberSpec) -> u32 {
-    spec.connections.saturating_sub(RESERVED).max(1)
+    spec.connections.saturating_sub(RESERVED_CONNECTIONS).max(1)
 }
--- a/crates/gullspar_target/src/unit_exchange.rs
+++ b/crates/gullspar_target/src/unit_exchange.rs
@@ -1,4 +1,4 @@
-//! Sending a unit's messages to a target and reading its answer.
+//! Sends a unit's messages to a target and reads the answer.
 
 use bytes::BytesMut;
 use futures::FutureExt;
@@ -8,16 +8,16 @@
 use gullspar_wire::{ErrorReport, WireError, query, status, target};
 
 use crate::TargetConnection;
-use crate::exchange::{Exchange, Verdict};
+use crate::exchange::{Exchange, FrameAction};
 use crate::lane::{FrameSink, Unit};
 
-/// Most that an answer may hold back while it waits for its acknowledgement, in bytes.
-const HELD_LIMIT: usize = 1024 * 1024;
+/// Maximum size of an answer held back until its commit is acknowledged, in bytes.
+const MAX_HELD_BYTES: usize = 1024 * 1024;
 
-/// Passes answers on in pieces of at least this size while more is on its way, in bytes.
-const PIECE: usize = 16 * 1024;
+/// Minimum size of a forwarded chunk while more of the answer is buffered, in bytes.
+const MIN_CHUNK_BYTES: usize = 16 * 1024;
 
-/// How a unit failed on its way.
+/// Why a unit failed.
 pub(crate) enum Failure {
     NotRun(NotRun),
     /// The connection broke or the deadline passed after the unit was sent.
@@ -30,20 +30,22 @@
     }
 }
 
-/// What came of the messages exchanged with a target.
+/// A target's answer to a unit, as far as it was not forwarded already.
 #[derive(Default)]
-pub(crate) struct Exchanged {
-    /// Held back until the acknowledgement.
+pub(crate) struct ExchangeResult {
+    /// Messages not forwarded yet; on a primary, held back until the commit is acknowledged.
     pub(crate) held: BytesMut,
+    /// Whether messages are being held back rather than forwarded.
     pub(crate) holding: bool,
+    /// Transaction status byte of ReadyForQuery.
     pub(crate) status: u8,
     /// SQLSTATE of the first error.
     pub(crate) error: Option<String>,
-    /// The member's status after the unit.
+    /// The member's status after the unit, if it was queried.
     pub(crate) after: Option<MemberStatus>,
 }
 
-/// Gathers what a keyed request answers, to be kept with its key.
+/// Collects the answer of a keyed request, so that it can be stored with the key.
 #[derive(Default)]
 pub(crate) struct Collector {
     pub(crate) bytes: BytesMut,
@@ -56,7 +58,7 @@
     }
 }
 
-/// Puts a session's settings in force on a connection that has others.
+/// Resets a connection and applies a session's settings to it.
 pub(crate) async fn apply_settings(
     connection: &mut TargetConnection,
     settings: &[String],
@@ -71,15 +73,15 @@
     Ok(())
 }
 
-/// Sends a unit and reads its answer, holding back what claims success.
-pub(crate) async fn exchange_plain(
+/// Sends a unit and reads its answer, holding back messages that report a result on a primary.
+pub(crate) async fn exchange_messages(
     unit: &Unit,
     connection: &mut TargetConnection,
     sink: &mut dyn FrameSink,
-) -> Result<Exchanged, Failure> {
+) -> Result<ExchangeResult, Failure> {
     let mut exchange = Exchange::default();
     let mut out = BytesMut::with_capacity(unit.payload.len() + 64);
-    // Malformed messages were refused when the caller sent them.
+    // Malformed messages were rejected on receipt from the caller, so this does not fail.
     let prepared = exchange.prepare(unit.payload.clone(), connection, &mut out);
     prepared.map_err(|_| NotRun::Unreachable)?;
     let keyed = unit.head.request_key.is_some() && unit.head.commits && !unit.head.continues;
@@ -90,13 +92,13 @@
     connection.channel.queue(&out);
     let lost = |_| Failure::Lost(Unknown::ConnectionLost);
     connection.channel.flush().await.map_err(lost)?;
-    let mut exchanged = Exchanged { status: status::BATCH_OPEN, ..Exchanged::default() };
+    let mut exchanged = ExchangeResult { status: status::BATCH_OPEN, ..ExchangeResult::default() };
     let mut ready = BytesMut::new();
     loop {
-        for frame in exchange.synthetic() {
+        for frame in exchange.take_synthetic() {
             ready.extend_from_slice(frame.bytes());
         }
-        if exchange.is_settled() {
+        if exchange.is_complete() {
             break;
         }
         let frame = match connection.channel.buffered().map_err(lost)? {
@@ -109,20 +111,21 @@
                 connection.channel.next().await.map_err(lost)?
             }
         };
-        match exchange.judge(&frame, connection) {
-            Verdict::Hide => continue,
-            Verdict::Ready(byte) => {
+        match exchange.handle_answer(&frame, connection) {
+            FrameAction::Hide => continue,
+            FrameAction::Ready(byte) => {
                 exchanged.status = byte;
                 break;
             }
-            Verdict::Forward => {}
+            FrameAction::Forward => {}
         }
         if frame.kind() == target::ERROR && exchanged.error.is_none() {
             exchanged.error = Some(ErrorReport::decode(&frame).code);
         }
-        let decisive = matches!(frame.kind(), target::COMMAND_COMPLETE | target::ERROR);
-        if decisive && unit.head.on_primary && !exchanged.holding {
-            // From here on the answer claims a result, and must not be seen before it is certain.
+        let reports_result = matches!(frame.kind(), target::COMMAND_COMPLETE | target::ERROR);
+        if reports_result && unit.head.on_primary && !exchanged.holding {
+            // From here on the answer reports a result, which the caller must not see before the
+            // commit is acknowledged.
             exchanged.holding = true;
             if !ready.is_empty() {
                 sink.push(&ready).await.map_err(lost)?;
@@ -131,12 +134,12 @@
         }
         if exchanged.holding {
             exchanged.held.extend_from_slice(frame.bytes());
-            if exchanged.held.len() > HELD_LIMIT {
+            if exchanged.held.len() > MAX_HELD_BYTES {
                 return Err(Failure::Lost(Unknown::NotAcknowledged));
             }
         } else {
             ready.extend_from_slice(frame.bytes());
-            if ready.len() >= PIECE {
+            if ready.len() >= MIN_CHUNK_BYTES {
                 sink.push(&ready).await.map_err(lost)?;
                 ready.clear();
             }
--- a/crates/gullspar_target/tests/admission.rs
+++ b/crates/gullspar_target/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What callers get when more comes than a target can do.
+//! Admission under overload.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -11,18 +11,18 @@
 use gullspar_target::Admission;
 
 const CAPACITY: u32 = 2;
-const WORK: Duration = Duration::from_millis(10);
+const SERVICE_TIME: Duration = Duration::from_millis(10);
 const OBJECTIVE: Duration = Duration::from_millis(100);
 const DEADLINE: Duration = Duration::from_millis(1000);
 
-/// Between two arrivals: 1.4 times what the target can do.
-const ARRIVAL: Duration = Duration::from_micros(3571);
+/// Time between two arrivals: 1.4 times the rate that the capacity can serve.
+const ARRIVAL_INTERVAL: Duration = Duration::from_micros(3571);
 
 const REQUESTS: u32 = 560;
 
-/// Plays the load; gives the share of requests that were answered within their objective.
-fn in_time(by_objective: bool) -> f64 {
-    let met = Rc::new(Cell::new(0));
+/// Runs the load; returns the share of requests that were answered within their objective.
+fn share_in_time(by_objective: bool) -> f64 {
+    let answered_in_time = Rc::new(Cell::new(0));
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let clock: Rc<dyn Clock> = Rc::new(SystemClock);
@@ -30,17 +30,18 @@
         let began = Instant::now();
         let mut tasks = Vec::new();
         for number in 0..REQUESTS {
-            compio::time::sleep_until(began + ARRIVAL * number).await;
-            let (admission, met) = (Rc::clone(&admission), Rc::clone(&met));
+            compio::time::sleep_until(began + ARRIVAL_INTERVAL * number).await;
+            let (admission, answered_in_time) =
+                (Rc::clone(&admission), Rc::clone(&answered_in_time));
             tasks.push(compio::runtime::spawn(async move {
                 let arrived = Instant::now();
                 let deadline = arrived + DEADLINE;
                 let objective = if by_objective { arrived + OBJECTIVE } else { deadline };
                 let Ok(permit) = admission.acquire_by(1, objective, deadline).await else { return };
-                compio::time::sleep(WORK).await;
+                compio::time::sleep(SERVICE_TIME).await;
                 drop(permit);
                 if arrived.elapsed() <= OBJECTIVE {
-                    met.set(met.get() + 1);
+                    answered_in_time.set(answered_in_time.get() + 1);
                 }
             }));
         }
@@ -48,26 +49,22 @@
             let _ = task.await;
         }
     });
-    f64::from(met.get()) / f64::from(REQUESTS)
+    f64::from(answered_in_time.get()) / f64::from(REQUESTS)
 }
 
-/// Symptom: while a group's replicas lag, not one of its callers is answered in time.
-/// Events: all reads go to the leader, 1.4 times what it can do; the queue grows to the deadline.
-/// Cause: the order of arrival serves each request when its objective has just passed.
-///
-/// Measured here: 0.1 to 0.3 of the requests in time in the order of arrival, 0.6 to 0.7 by objective; the
-/// target can do 0.71.
+/// Guards against all callers of an overloaded target being answered late, because the order of
+/// arrival serves each request just after its objective.
 #[test]
 fn most_requests_stay_in_time_when_a_target_is_overloaded() {
-    let by_arrival = in_time(false);
-    let by_objective = in_time(true);
+    let by_arrival = share_in_time(false);
+    let by_objective = share_in_time(true);
     assert!(by_objective > 0.5, "{by_objective} in time");
     assert!(by_objective > 1.5 * by_arrival, "{by_objective} against {by_arrival}");
 }
 
-/// A request that can't be served in time is refused on arrival, not at its deadline.
+/// Guards against keeping a request in the queue that can't be served before its deadline.
 #[test]
-fn a_hopeless_request_is_refused_on_arrival() {
+fn a_request_that_cannot_be_served_in_time_is_refused_on_arrival() {
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let clock: Rc<dyn Clock> = Rc::new(SystemClock);
