--- a/crates/gullspar_caller/src/router.rs
+++ b/crates/gullspar_caller/src/router.rs
@@ -272,7 +272,7 @@
         if self.lanes.has_answered_since(&home.id, now - RECENT_CONTACT_PERIOD) {
             return true;
         }
-        let answers = lane.answers(now + LANE_TIMEOUT).await;
+        let answers = lane.is_responsive(now + LANE_TIMEOUT).await;
         if answers {
             self.lanes.record_answer(&home.id, self.fleet.borders().clock.now());
         }
