--- a/crates/gullspar_direct/tests/claims.rs
+++ b/crates/gullspar_direct/tests/claims.rs
@@ -92,8 +92,10 @@
         pause(2000).await;
         assert_eq!(world.promoter.orders(), []);
         world.group.clear_faults(0);
-        wait_until(1000, "the leader is used again", || leader_of(&proxies[0]) == Some("m0".into()))
-            .await;
+        wait_until(1000, "the leader is used again", || {
+            leader_of(&proxies[0]) == Some("m0".into())
+        })
+        .await;
         pause(200).await;
         world.caller(&proxies[0], LATEST).await.execute_ok("WRITE slot mine").await;
     });
--- a/crates/gullspar_direct/tests/failover.rs
+++ b/crates/gullspar_direct/tests/failover.rs
@@ -21,7 +21,8 @@
         world.wait_for_new_leader("m0", FAILOVER_TIMEOUT_MS).await;
         let leader = world.group.leader();
         for proxy in &proxies {
-            wait_until(1000, "all instances use the new leader", || leader_of(proxy) == leader).await;
+            wait_until(1000, "all instances use the new leader", || leader_of(proxy) == leader)
+                .await;
         }
         world.caller(&proxies[0], LATEST).await.execute_ok("WRITE slot mine").await;
         pause(1500).await;
--- a/crates/gullspar_direct/tests/leaving.rs
+++ b/crates/gullspar_direct/tests/leaving.rs
@@ -25,8 +25,10 @@
         pause(1000).await;
         assert_eq!(world.promoter.orders(), [], "no replica has the last commit yet");
         world.group.clear_faults(2);
-        wait_until(3000, "the replica that has it leads", || world.group.leader() == Some("m2".into()))
-            .await;
+        wait_until(3000, "the replica that has it leads", || {
+            world.group.leader() == Some("m2".into())
+        })
+        .await;
         assert_eq!(world.group.value("slot"), Some("mine".to_owned()));
     });
 }
--- a/crates/gullspar_direct/tests/partitioned_data_centre.rs
+++ b/crates/gullspar_direct/tests/partitioned_data_centre.rs
@@ -58,7 +58,9 @@
     world.network.partition_between(partitioned, &others);
     let without_targets = if from_targets { partitioned.to_vec() } else { others };
     for member in 0..3 {
-        without_targets.iter().for_each(|it| world.group.inject_fault(member, Fault::UnresponsiveTo(*it)));
+        without_targets
+            .iter()
+            .for_each(|it| world.group.inject_fault(member, Fault::UnresponsiveTo(*it)));
     }
 }
 
@@ -110,7 +112,11 @@
         (0..3).for_each(|it| world.group.clear_faults(it));
         wait_until(3000, "all are ready again", || proxies.iter().all(|it| it.is_ready())).await;
         for number in &partitioned {
-            world.caller(instance(&proxies, *number), LATEST).await.execute_ok("WRITE slot mine").await;
+            world
+                .caller(instance(&proxies, *number), LATEST)
+                .await
+                .execute_ok("WRITE slot mine")
+                .await;
         }
     });
 }
