--- a/crates/gullspar_wire/src/channel.rs
+++ b/crates/gullspar_wire/src/channel.rs
@@ -1,48 +1,48 @@
-//! A link with a buffer on each side.
+//! A buffered link that reads and writes frames.
 
 use bytes::BytesMut;
 use gullspar_border::Link;
 
 use crate::{ErrorReport, Frame, FrameHeader, WireError, messages, target};
 
-/// One row of text columns.
+/// A row's columns as text; `None` is a null.
 pub type QueryRow = Vec<Option<String>>;
 
-/// Messages over a [`Link`].
+/// Reads and writes messages over a [`Link`], with a buffer for each direction.
 pub struct Channel {
     link: Box<dyn Link>,
     incoming: BytesMut,
     outgoing: BytesMut,
-    limit: usize,
+    max_length: usize,
 }
 
 impl Channel {
-    /// Memory that an idle connection keeps for reading, in bytes.
+    /// Size of the read buffer of an idle connection, in bytes.
     ///
-    /// A pending read owns its buffer, so this times the idle connections is what an instance pays.
+    /// A pending read owns its buffer, so every idle connection holds this much memory.
     const IDLE_BUFFER: usize = 512;
 
-    /// A buffer that grew beyond this is not kept for the next message, in bytes.
-    const KEPT_BUFFER: usize = 2 * 1024;
+    /// Larger buffers are released instead of being reused, in bytes.
+    const MAX_KEPT_BUFFER: usize = 2 * 1024;
 
-    /// Memory for reading while messages flow, in bytes.
+    /// Size of the read buffer while a message is being received, in bytes.
     const BUSY_BUFFER: usize = 16 * 1024;
 
-    /// The longest message accepted by default, in bytes.
+    /// Default maximum length of a message, in bytes.
     pub const DEFAULT_LIMIT: usize = 16 * 1024 * 1024;
 
-    /// Wraps a link; messages over `limit` bytes are refused.
-    pub fn new(link: Box<dyn Link>, limit: usize) -> Channel {
-        Channel { link, incoming: BytesMut::new(), outgoing: BytesMut::new(), limit }
+    /// Wraps a link; messages longer than `max_length` bytes are refused.
+    pub fn new(link: Box<dyn Link>, max_length: usize) -> Channel {
+        Channel { link, incoming: BytesMut::new(), outgoing: BytesMut::new(), max_length }
     }
 
-    /// The next message.
+    /// Reads the next message.
     pub async fn next(&mut self) -> Result<Frame, WireError> {
         loop {
-            if let Some(frame) = Frame::take(&mut self.incoming, self.limit)? {
+            if let Some(frame) = Frame::take(&mut self.incoming, self.max_length)? {
                 return Ok(frame);
             }
-            let wanted = match FrameHeader::peek(&self.incoming, self.limit)? {
+            let wanted = match FrameHeader::peek(&self.incoming, self.max_length)? {
                 Some(header) => header.length.min(4 * Channel::BUSY_BUFFER),
                 None => Channel::BUSY_BUFFER,
             };
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Waits until something has arrived, holding little memory meanwhile.
+    /// Waits until data has arrived, with a small read buffer in the meantime.
     pub async fn wait_readable(&mut self) -> Result<(), WireError> {
         if self.incoming.is_empty() {
-            if self.incoming.capacity() > Channel::KEPT_BUFFER {
+            if self.incoming.capacity() > Channel::MAX_KEPT_BUFFER {
                 self.incoming = BytesMut::new();
             }
             self.fill(Channel::IDLE_BUFFER).await?;
@@ -61,22 +61,22 @@
         Ok(())
     }
 
-    /// A message that is already here whole.
+    /// Returns the next message if it is already buffered completely.
     pub fn buffered(&mut self) -> Result<Option<Frame>, WireError> {
-        Frame::take(&mut self.incoming, self.limit)
+        Frame::take(&mut self.incoming, self.max_length)
     }
 
-    /// Whether bytes are here that nobody asked for yet.
+    /// Whether received bytes are buffered that were not read yet.
     pub fn has_unread(&self) -> bool {
         !self.incoming.is_empty()
     }
 
-    /// Whether the connection is still there and nobody sent anything unasked.
+    /// Whether the connection is open and no data was received that is still unread.
     pub fn is_quiet(&self) -> bool {
         self.incoming.is_empty() && self.link.is_quiet()
     }
 
-    /// Reads `count` bytes that are no message, as at start-up.
+    /// Reads `count` bytes that are not framed as a message, as at start-up.
     pub async fn next_raw(&mut self, count: usize) -> Result<BytesMut, WireError> {
         while self.incoming.len() < count {
             self.fill(Channel::IDLE_BUFFER).await?;
@@ -89,37 +89,37 @@
         self.outgoing.extend_from_slice(bytes);
     }
 
-    /// The queue itself, for encoders.
+    /// The buffer of queued bytes, for encoders that append to it.
     pub fn outgoing(&mut self) -> &mut BytesMut {
         &mut self.outgoing
     }
 
-    /// How much is queued, in bytes.
+    /// Number of queued bytes.
     pub fn queued(&self) -> usize {
         self.outgoing.len()
     }
 
-    /// Sends what is queued.
+    /// Sends the queued bytes.
     pub async fn flush(&mut self) -> Result<(), WireError> {
         if self.outgoing.is_empty() {
             return Ok(());
         }
         let buf = std::mem::take(&mut self.outgoing);
         let buf = self.link.send(buf).await?;
-        if buf.capacity() <= Channel::KEPT_BUFFER {
+        if buf.capacity() <= Channel::MAX_KEPT_BUFFER {
             self.outgoing = buf;
         }
         Ok(())
     }
 
-    /// Runs a statement of our own as a client and gives its rows.
+    /// Runs a statement as a client and returns its rows; an error of the server is returned too.
     pub async fn query(&mut self, sql: &str) -> Result<Vec<QueryRow>, WireError> {
         self.queue(messages::query(sql).bytes());
         self.flush().await?;
         self.read_answer().await
     }
 
-    /// Reads the answer to a statement of our own that was sent already.
+    /// Reads the answer to a statement that was already sent.
     pub async fn read_answer(&mut self) -> Result<Vec<QueryRow>, WireError> {
         let mut rows = Vec::new();
         let mut failure = None;
@@ -138,11 +138,11 @@
         }
     }
 
-    /// Ends the connection so that the other side reads everything that was sent to it.
+    /// Closes the connection so that the peer can read everything that was sent to it.
     ///
-    /// Closed while something it sent lies unread here, the connection would be reset, and the reset
-    /// overtakes the last message: a caller that was told "not run" would see a broken connection and
-    /// not know. So our direction ends first, and what still comes is read and dropped.
+    /// A socket closed with unread data resets the connection, and the peer may then lose the last
+    /// message, such as an error that says "not run". So only the write side is closed, and incoming
+    /// data is discarded until the peer closes its side, which ends with [`WireError::Closed`].
     pub async fn finish(&mut self) -> Result<(), WireError> {
         self.flush().await?;
         self.link.close_write().await?;
@@ -152,12 +152,12 @@
         }
     }
 
-    async fn fill(&mut self, room: usize) -> Result<(), WireError> {
+    async fn fill(&mut self, additional: usize) -> Result<(), WireError> {
         let mut buf = std::mem::take(&mut self.incoming);
-        let before = buf.len();
-        buf.reserve(room);
+        let old_len = buf.len();
+        buf.reserve(additional);
         let buf = self.link.recv(buf).await?;
-        if buf.len() == before {
+        if buf.len() == old_len {
             return Err(WireError::Closed);
         }
         self.incoming = buf;
--- a/crates/gullspar_wire/src/error_report.rs
+++ b/crates/gullspar_wire/src/error_report.rs
@@ -1,4 +1,4 @@
-//! An ErrorResponse, read or written.
+//! Encoding and decoding of ErrorResponse messages.
 
 use bytes::BytesMut;
 use pgwire::error::ErrorInfo;
@@ -7,7 +7,7 @@
 
 use crate::{Frame, frame};
 
-/// The parts of an error that callers and decisions use.
+/// The fields of an ErrorResponse that are sent or evaluated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorReport {
     pub severity: String,
@@ -18,7 +18,7 @@
 }
 
 impl ErrorReport {
-    /// An error that ends a statement.
+    /// An error of severity `ERROR`, which ends a statement.
     pub fn error(code: &str, message: impl Into<String>) -> ErrorReport {
         ErrorReport {
             severity: "ERROR".to_owned(),
@@ -28,28 +28,28 @@
         }
     }
 
-    /// An error that ends the connection.
+    /// An error of severity `FATAL`, which ends the connection.
     pub fn fatal(code: &str, message: impl Into<String>) -> ErrorReport {
         ErrorReport { severity: "FATAL".to_owned(), ..ErrorReport::error(code, message) }
     }
 
-    /// Adds a hint.
+    /// Sets the hint.
     pub fn with_hint(mut self, hint: impl Into<String>) -> ErrorReport {
         self.hint = Some(hint.into());
         self
     }
 
-    /// Writes the message.
+    /// Appends the message to `buf`.
     pub fn encode(&self, buf: &mut BytesMut) {
         let mut info =
             ErrorInfo::new(self.severity.clone(), self.code.clone(), self.message.clone());
         info.hint = self.hint.clone();
         let response = ErrorResponse::from(info);
-        // Encoding fails on messages over the protocol's limit only, and these texts are short.
+        // Encoding fails only on messages over the protocol's limit, and these are shorter.
         let _ = response.encode(buf);
     }
 
-    /// Reads the message; parts that are missing stay empty.
+    /// Decodes a message; missing fields are left empty.
     pub fn decode(message: &Frame) -> ErrorReport {
         let mut report = ErrorReport::error("", "");
         let mut rest = message.body();
--- a/crates/gullspar_wire/src/frame.rs
+++ b/crates/gullspar_wire/src/frame.rs
@@ -1,33 +1,33 @@
-//! One message as it stands on the wire.
+//! Framing of protocol messages.
 
 use bytes::{Buf, BytesMut};
 
 use crate::WireError;
 
-/// A whole message: type byte, length and body.
+/// A complete message: type byte, length and body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     bytes: BytesMut,
 }
 
-/// The first five bytes of a message.
+/// The header of a message: its type byte and length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
     /// The type byte.
     pub kind: u8,
-    /// Length of the whole message with its header, in bytes.
+    /// Length of the message including its header, in bytes.
     pub length: usize,
 }
 
 impl FrameHeader {
-    /// Bytes of a header.
+    /// Size of a header, in bytes.
     pub const SIZE: usize = 5;
 
-    /// Reads the header at the start of `buf`, if enough has arrived.
+    /// Reads the header at the start of `buf`; `None` if `buf` is shorter than a header.
     ///
-    /// A length under four can't be: it would make the reader lose its place in the stream and take
-    /// a body for a message, so the connection must end here.
-    pub fn peek(buf: &[u8], limit: usize) -> Result<Option<FrameHeader>, WireError> {
+    /// Fails if the length is over `max_length`, or under four: the length counts its own four bytes,
+    /// so the message boundaries are unknown then and the connection can't be used further.
+    pub fn peek(buf: &[u8], max_length: usize) -> Result<Option<FrameHeader>, WireError> {
         let Some(head) = buf.first_chunk::<{ FrameHeader::SIZE }>() else {
             return Ok(None);
         };
@@ -36,17 +36,17 @@
         if body < 4 {
             return Err(WireError::Malformed(format!("length {body} of message {kind:#04x}")));
         }
-        if body > limit {
-            return Err(WireError::TooLarge(kind, body, limit));
+        if body > max_length {
+            return Err(WireError::TooLarge(kind, body, max_length));
         }
         Ok(Some(FrameHeader { kind, length: body + 1 }))
     }
 }
 
 impl Frame {
-    /// Splits the first message off `buf`, if it is there whole.
-    pub fn take(buf: &mut BytesMut, limit: usize) -> Result<Option<Frame>, WireError> {
-        let Some(header) = FrameHeader::peek(buf, limit)? else {
+    /// Splits the first message off `buf`; `None` if it is incomplete.
+    pub fn take(buf: &mut BytesMut, max_length: usize) -> Result<Option<Frame>, WireError> {
+        let Some(header) = FrameHeader::peek(buf, max_length)? else {
             return Ok(None);
         };
         if buf.len() < header.length {
@@ -55,7 +55,7 @@
         Ok(Some(Frame { bytes: buf.split_to(header.length) }))
     }
 
-    /// Whether any message in `bytes`, which holds whole ones, is of type `kind`.
+    /// Whether `bytes`, a sequence of complete messages, contains one of type `kind`.
     pub fn contains_kind(mut bytes: &[u8], kind: u8) -> bool {
         while let Ok(Some(header)) = FrameHeader::peek(bytes, usize::MAX) {
             if header.kind == kind {
@@ -66,7 +66,7 @@
         false
     }
 
-    /// Makes a message of a type byte and a body.
+    /// Creates a message from its type byte and body.
     pub fn new(kind: u8, body: &[u8]) -> Frame {
         let mut bytes = BytesMut::with_capacity(FrameHeader::SIZE + body.len());
         bytes.extend_from_slice(&[kind]);
@@ -80,28 +80,28 @@
         self.bytes[0]
     }
 
-    /// What follows the header.
+    /// The body, without the header.
     pub fn body(&self) -> &[u8] {
         &self.bytes[FrameHeader::SIZE..]
     }
 
-    /// The message as it stands on the wire.
+    /// The encoded message, including the header.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// The message as a buffer that a decoder may eat.
+    /// The encoded message, as a buffer that a decoder can consume.
     pub fn into_bytes(self) -> BytesMut {
         self.bytes
     }
 
-    /// The text up to the first zero byte of the body.
+    /// The zero-terminated text at the start of the body.
     pub fn first_text(&self) -> Result<&str, WireError> {
         text_at(self.body()).map(|(text, _)| text)
     }
 }
 
-/// Splits a zero-ended text off the start of `body`.
+/// Splits a zero-terminated text off the start of `body`.
 pub(crate) fn text_at(body: &[u8]) -> Result<(&str, &[u8]), WireError> {
     let end = body
         .iter()
--- a/crates/gullspar_wire/src/lib.rs
+++ b/crates/gullspar_wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! PostgreSQL frames over a link, and the few messages that gullspar reads or writes itself.
+//! PostgreSQL protocol messages over a link.
 //!
-//! Most bytes pass through untouched: a frame is a type byte, a length and a body, and only the
-//! frames that a decision needs are decoded, by the `pgwire` library.
+//! A frame is a type byte, a length and a body. Most frames are forwarded unchanged; only those that
+//! routing and session handling depend on are decoded.
 
 mod channel;
 mod error_report;
--- a/crates/gullspar_wire/src/messages.rs
+++ b/crates/gullspar_wire/src/messages.rs
@@ -1,4 +1,4 @@
-//! Type bytes of the protocol and small messages built from them.
+//! Type bytes of the protocol, and encoding and decoding of simple messages.
 
 use std::collections::BTreeMap;
 
@@ -55,22 +55,22 @@
     pub const IDLE: u8 = b'I';
     pub const IN_TRANSACTION: u8 = b'T';
     pub const FAILED: u8 = b'E';
-    /// Not PostgreSQL's: on lanes, a unit that ended with a Flush, whose batch is still open.
+    /// Only on lanes: the unit ended with a Flush and its batch is still open.
     pub const BATCH_OPEN: u8 = b'F';
 }
 
-/// A start-up message with these parameters.
+/// Encodes a start-up message with these parameters.
 pub fn startup(parameters: &[(&str, &str)]) -> BytesMut {
     let mut message = Startup::new();
     message.parameters =
         parameters.iter().map(|(key, value)| ((*key).to_owned(), (*value).to_owned())).collect();
     let mut buf = BytesMut::new();
-    // Encoding fails on messages over the protocol's limit only, and these are short.
+    // Encoding fails only on messages over the protocol's limit, and these are shorter.
     let _ = message.encode(&mut buf);
     buf
 }
 
-/// Reads the parameters of a start-up message, whose length and version are already taken off.
+/// Decodes the parameters of a start-up message; `body` starts after its length and version.
 pub fn startup_parameters(mut body: &[u8]) -> Result<BTreeMap<String, String>, WireError> {
     let mut parameters = BTreeMap::new();
     loop {
@@ -84,7 +84,7 @@
     }
 }
 
-/// A simple query.
+/// Encodes a simple query.
 pub fn query(sql: &str) -> Frame {
     let mut body = BytesMut::with_capacity(sql.len() + 1);
     body.extend_from_slice(sql.as_bytes());
@@ -92,26 +92,26 @@
     Frame::new(caller::QUERY, &body)
 }
 
-/// A ReadyForQuery.
+/// Encodes a ReadyForQuery with a [`status`] byte.
 pub fn ready(status: u8) -> Frame {
     Frame::new(target::READY, &[status])
 }
 
-/// A CommandComplete with `tag`.
+/// Encodes a CommandComplete with `tag`.
 pub fn command_complete(tag: &str) -> Frame {
     let mut body = BytesMut::from(tag.as_bytes());
     body.put_u8(0);
     Frame::new(target::COMMAND_COMPLETE, &body)
 }
 
-/// A ParameterStatus.
+/// Appends a ParameterStatus to `buf`.
 pub fn parameter_status(buf: &mut BytesMut, name: &str, value: &str) {
     let message = ParameterStatus::new(name.to_owned(), value.to_owned());
-    // Encoding fails on messages over the protocol's limit only, and these are short.
+    // Encoding fails only on messages over the protocol's limit, and these are shorter.
     let _ = message.encode(buf);
 }
 
-/// Queues the settings that a server reports when a session starts.
+/// Appends the ParameterStatus messages that a server sends when a session starts.
 pub fn queue_server_parameters(buf: &mut BytesMut) {
     const REPORTED: [(&str, &str); 6] = [
         ("server_version", "16.0"),
@@ -126,21 +126,21 @@
     }
 }
 
-/// The name and the text of a Parse message, and what follows them.
+/// The statement name and text of a Parse message, and the undecoded rest.
 pub fn parse_parts(message: &Frame) -> Result<(&str, &str, &[u8]), WireError> {
     let (name, rest) = frame::text_at(message.body())?;
     let (sql, types) = frame::text_at(rest)?;
     Ok((name, sql, types))
 }
 
-/// The portal and statement of a Bind message, and what follows them.
+/// The portal and statement names of a Bind message, and the undecoded rest.
 pub fn bind_parts(message: &Frame) -> Result<(&str, &str, &[u8]), WireError> {
     let (portal, rest) = frame::text_at(message.body())?;
     let (statement, values) = frame::text_at(rest)?;
     Ok((portal, statement, values))
 }
 
-/// The kind (`S` or `P`) and the name in a Describe or Close message.
+/// The kind (`S` for statement, `P` for portal) and name in a Describe or Close message.
 pub fn kind_and_name(message: &Frame) -> Result<(u8, &str), WireError> {
     let (kind, rest) = message
         .body()
@@ -150,7 +150,7 @@
     Ok((*kind, name))
 }
 
-/// A message of zero-ended texts followed by raw bytes.
+/// Encodes a message of zero-terminated texts followed by `rest`.
 pub fn texts_and_rest(kind: u8, texts: &[&str], rest: &[u8]) -> Frame {
     let mut body = BytesMut::new();
     for text in texts {
@@ -161,7 +161,7 @@
     Frame::new(kind, &body)
 }
 
-/// The columns of a DataRow as text; a null is `None`.
+/// Decodes the columns of a DataRow as text; a null is `None`.
 pub fn row_values(message: &Frame) -> Result<Vec<Option<String>>, WireError> {
     let malformed = || WireError::Malformed("DataRow".to_owned());
     let body = message.body();
@@ -179,7 +179,7 @@
     Ok(values)
 }
 
-/// A cancel request for the statement of the session with this process and secret.
+/// Encodes a cancel request for the session with this process number and secret.
 pub fn cancel_request((process, secret): (i32, i32)) -> BytesMut {
     let mut buf = BytesMut::with_capacity(16);
     buf.put_i32(16);
@@ -189,13 +189,13 @@
     buf
 }
 
-/// Code of a cancel request, in the place of a version.
+/// Code of a cancel request, sent in place of the protocol version.
 pub const CANCEL_REQUEST: u32 = 80_877_102;
 
-/// Code of a request for TLS, in the place of a version.
+/// Code of a request for TLS, sent in place of the protocol version.
 pub const SSL_REQUEST: u32 = 80_877_103;
 
-/// Code of a request for GSSAPI encryption, in the place of a version.
+/// Code of a request for GSSAPI encryption, sent in place of the protocol version.
 pub const GSS_REQUEST: u32 = 80_877_104;
 
 /// Version 3.0 of the protocol.
--- a/crates/gullspar_wire/src/query_client.rs
+++ b/crates/gullspar_wire/src/query_client.rs
@@ -1,30 +1,30 @@
-//! A small client for the statements that gullspar itself asks of a target.
+//! A minimal client for statements that gullspar itself runs on a target.
 
 use gullspar_border::Link;
 
 use crate::{Channel, ErrorReport, Frame, QueryRow, WireError, messages, target};
 
-/// A connection on which gullspar runs statements of its own.
+/// A connection to a target for gullspar's own statements.
 pub struct QueryClient {
     channel: Channel,
-    /// What a cancel request must carry: process and secret.
+    /// Process number and secret that a cancel request for this session needs.
     pub cancel_key: (i32, i32),
 }
 
 impl QueryClient {
-    /// Starts a session on a fresh link.
+    /// Starts a session on a new link, without a password.
     pub async fn start(
         link: Box<dyn Link>,
         user: &str,
         database: &str,
     ) -> Result<QueryClient, WireError> {
         let mut channel = Channel::new(link, Channel::DEFAULT_LIMIT);
-        let hello = messages::startup(&[
+        let startup = messages::startup(&[
             ("user", user),
             ("database", database),
             ("application_name", "gullspar"),
         ]);
-        channel.queue(&hello);
+        channel.queue(&startup);
         channel.flush().await?;
         let mut cancel_key = (0, 0);
         loop {
@@ -39,18 +39,18 @@
         }
     }
 
-    /// Runs one statement and gives its rows.
+    /// Runs a statement and returns its rows.
     pub async fn query(&mut self, sql: &str) -> Result<Vec<QueryRow>, WireError> {
         self.channel.query(sql).await
     }
 
-    /// Gives the connection up to pass messages through.
+    /// Returns the channel, to forward messages over it.
     pub fn into_channel(self) -> Channel {
         self.channel
     }
 }
 
-/// Targets trust the network that instances are in; any other demand is refused clearly.
+/// Accepts only AuthenticationOk: targets trust the instances' network and ask for no password.
 fn accept_authentication(message: &Frame) -> Result<(), WireError> {
     match message.body() {
         [0, 0, 0, 0] => Ok(()),
--- a/crates/gullspar_wire/src/wire_error.rs
+++ b/crates/gullspar_wire/src/wire_error.rs
@@ -1,26 +1,26 @@
-//! What can go wrong on a link.
+//! Errors of the message exchange on a link.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a message could not be exchanged.
+    /// Why reading or writing a message failed.
     #[derive(Debug)]
     pub enum WireError {
-        /// The link broke.
+        /// Reading from or writing to the link failed.
         Io(err: std::io::Error) {
             from()
             source(err)
             display("link broken: {err}")
         }
-        /// The other side closed in good order.
+        /// The peer closed the connection.
         Closed {
             display("the other side closed the connection")
         }
-        /// The bytes are no message.
+        /// The bytes are not a valid message.
         Malformed(what: String) {
             display("malformed message: {what}")
         }
-        /// A message is longer than what is accepted.
+        /// A message is too long: its type byte, its length and the limit.
         TooLarge(kind: u8, length: usize, limit: usize) {
             display("message '{}' of {length} bytes is over the limit of {limit}", *kind as char)
         }
--- a/crates/gullspar_wire/tests/frames.rs
+++ b/crates/gullspar_wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Any bytes at the border: a message, a wish for more, or a clear error; never a panic.
+//! Guards against panics on malformed input, and against framing that changes messages.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -12,10 +12,10 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_taken_apart_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut buf = BytesMut::from(bytes.as_slice());
         while let Ok(Some(frame)) = Frame::take(&mut buf, 1000) {
-            // Each decoder either succeeds or tells what is wrong.
+            // Each decoder returns a value or an error.
             let _ = (parse_parts(&frame), bind_parts(&frame), kind_and_name(&frame), row_values(&frame));
             let _ = (frame.first_text(), ErrorReport::decode(&frame));
             let _ = LaneFrame::decode::<LaneUnit>(&frame);
@@ -25,7 +25,7 @@
     }
 
     #[test]
-    fn a_message_comes_back_as_it_was(
+    fn a_message_is_decoded_as_it_was_encoded(
         kind in any::<u8>(),
         texts in proptest::collection::vec("[^\\x00]{0,20}", 2),
         rest in proptest::collection::vec(any::<u8>(), 0..40),
@@ -39,7 +39,7 @@
     }
 
     #[test]
-    fn a_message_in_pieces_waits_for_its_end(body in proptest::collection::vec(any::<u8>(), 0..50), cut in any::<prop::sample::Index>()) {
+    fn an_incomplete_message_is_not_returned_before_its_end(body in proptest::collection::vec(any::<u8>(), 0..50), cut in any::<prop::sample::Index>()) {
         let whole = Frame::new(b'Q', &body);
         let at = cut.index(whole.bytes().len());
         let mut buf = BytesMut::from(&whole.bytes()[..at]);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn lengths_out_of_range_are_refused_at_once() {
+fn lengths_out_of_range_are_refused_from_the_header() {
     let mut short = BytesMut::from(&[b'Q', 0, 0, 0, 3][..]);
     assert!(matches!(Frame::take(&mut short, 1000), Err(WireError::Malformed(_))));
     let mut long = BytesMut::from(&[b'Q', 0, 1, 0, 0][..]);
