--- a/crates/gullspar_caller/src/session_state.rs
+++ b/crates/gullspar_caller/src/session_state.rs
@@ -64,8 +64,8 @@
             Consistency::ReadYourWrites | Consistency::AnyAge => None,
         };
         match (class, self.max_age_ms) {
-            (Some(class), Some(own)) => Some(class.min(own)),
-            (class, own) => class.or(own),
+            (Some(class), Some(session)) => Some(class.min(session)),
+            (class, session) => class.or(session),
         }
     }
 
@@ -79,7 +79,7 @@
     /// Time within which a request must be answered.
     pub(crate) fn time_limit(&self) -> Duration {
         let class = self.class.deadline_ms;
-        Duration::from_millis(self.deadline_ms.map_or(class, |own| own.min(class)))
+        Duration::from_millis(self.deadline_ms.map_or(class, |session| session.min(class)))
     }
 
     /// Raises the floor to `point`; it is never lowered.
--- a/crates/gullspar_caller/tests/classifier.rs
+++ b/crates/gullspar_caller/tests/classifier.rs
@@ -4,6 +4,7 @@
 use gullspar_model::Access;
 use test_case::test_case;
 
+/// Guards against reads that needlessly go to the primary.
 #[test_case("SELECT 1")]
 #[test_case("SELECT count(*), max(x) FROM t WHERE a = $1 ORDER BY 2 LIMIT 5")]
 #[test_case("WITH a AS (SELECT x FROM t) SELECT * FROM a JOIN u USING (x)")]
@@ -16,6 +17,7 @@
     assert_eq!(Classifier::default().classify(sql).kind, StatementKind::Data(Access::Read));
 }
 
+/// Guards against a statement that may write being sent to a replica.
 #[test_case("INSERT INTO t VALUES (1)"; "insert")]
 #[test_case("SELECT * FROM t FOR UPDATE"; "locking read")]
 #[test_case("SELECT * FROM (SELECT * FROM t FOR SHARE) AS s"; "locking read within a read")]
@@ -33,6 +35,7 @@
     assert_ne!(Classifier::default().classify(sql).kind, StatementKind::Data(Access::Read));
 }
 
+/// Guards against marks being taken from text that is not a leading comment, such as a literal.
 #[test]
 fn marks_are_parsed_from_the_leading_comment_only() {
     let classifier = Classifier::default();
@@ -42,6 +45,7 @@
     assert_eq!((unmarked.request_key.as_deref(), unmarked.idempotent), (None, false));
 }
 
+/// Guards against transaction control and session state being handled as plain statements.
 #[test_case("BEGIN", StatementKind::Begin { read_only: false })]
 #[test_case("START TRANSACTION READ ONLY", StatementKind::Begin { read_only: true })]
 #[test_case("COMMIT", StatementKind::Commit)]
--- a/crates/gullspar_caller/tests/target_scores.rs
+++ b/crates/gullspar_caller/tests/target_scores.rs
@@ -51,6 +51,7 @@
 
 const DONE: Outcome = Outcome::Done { status: b'I', point: None, age_ms: None };
 
+/// Guards against reads that go to a slower replica, or leave the data centre without need.
 #[test]
 fn the_replica_in_the_same_data_centre_is_first_until_another_is_faster() {
     let (scores, now) = (TargetScores::default(), Instant::now());
--- a/crates/gullspar_wire/src/channel.rs
+++ b/crates/gullspar_wire/src/channel.rs
@@ -112,14 +112,14 @@
         Ok(())
     }
 
-    /// Runs a statement as a client and returns its rows; an error of the server is returned too.
+    /// Runs a statement as a client and returns its rows, or the server's error.
     pub async fn query(&mut self, sql: &str) -> Result<Vec<QueryRow>, WireError> {
         self.queue(messages::query(sql).bytes());
         self.flush().await?;
         self.read_answer().await
     }
 
-    /// Reads the answer to a statement that was already sent.
+    /// Reads the rows, or the server's error, of a statement that was already sent.
     pub async fn read_answer(&mut self) -> Result<Vec<QueryRow>, WireError> {
         let mut rows = Vec::new();
         let mut failure = None;
--- a/crates/gullspar_wire/tests/frames.rs
+++ b/crates/gullspar_wire/tests/frames.rs
@@ -11,6 +11,7 @@
 use proptest::prelude::*;
 
 proptest! {
+    /// Guards against a panic when a peer sends malformed bytes.
     #[test]
     fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut buf = BytesMut::from(bytes.as_slice());
@@ -24,6 +25,7 @@
         let _ = startup_parameters(&bytes);
     }
 
+    /// Guards against encoding and decoding that disagree on a message's parts.
     #[test]
     fn a_message_is_decoded_as_it_was_encoded(
         kind in any::<u8>(),
@@ -38,6 +40,7 @@
         prop_assert_eq!((one, other, tail), (texts[0].as_str(), texts[1].as_str(), rest.as_slice()));
     }
 
+    /// Guards against a message being read before all of it has arrived.
     #[test]
     fn an_incomplete_message_is_not_returned_before_its_end(body in proptest::collection::vec(any::<u8>(), 0..50), cut in any::<prop::sample::Index>()) {
         let whole = Frame::new(b'Q', &body);
@@ -49,6 +52,7 @@
     }
 }
 
+/// Guards against waiting for the body of a message whose length is invalid or over the limit.
 #[test]
 fn lengths_out_of_range_are_refused_from_the_header() {
     let mut short = BytesMut::from(&[b'Q', 0, 0, 0, 3][..]);
