--- a/crates/gullspar_instance/src/instance.rs
+++ b/crates/gullspar_instance/src/instance.rs
@@ -1,4 +1,4 @@
-//! Starting, running and ending an instance.
+//! Startup, operation and shutdown of an instance.
 
 use std::future::Future;
 use std::io;
@@ -23,22 +23,22 @@
 use gullspar_target::{ActiveLanes, Lanes, Pools, serve_lanes};
 use quick_error::quick_error;
 
-/// How long the news of a shutdown may spread before callers are sent away.
-const LEAVE_SPREADS_IN: Duration = Duration::from_millis(400);
+/// Delay between announcing a shutdown and draining, so that other instances learn of it first.
+const LEAVE_PROPAGATION_DELAY: Duration = Duration::from_millis(400);
 
-/// How often a draining instance looks whether it is empty.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a draining instance checks whether it still has work.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 quick_error! {
-    /// Why an instance could not start.
+    /// Why an instance failed to start.
     #[derive(Debug)]
     pub enum InstanceError {
-        /// An address of the settings could not be listened on.
+        /// Listening on an address of the settings failed; `option` names the setting.
         Listen(option: &'static str, address: SocketAddr, err: io::Error) {
             source(err)
             display("`{option}`: can't listen on {address}: {err}")
         }
-        /// Metrics could not be set up.
+        /// Setting up the metrics failed.
         Metrics(err: MetricsError) {
             from()
             source(err)
@@ -47,7 +47,7 @@
     }
 }
 
-/// The pace of an instance's control work.
+/// Intervals and timeouts of an instance's gossip and group management.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InstanceTiming {
     pub fleet: FleetTiming,
@@ -55,7 +55,7 @@
 }
 
 impl InstanceTiming {
-    /// The pace that `settings` ask for.
+    /// Default timing, with the values that `settings` define.
     pub fn from_settings(settings: &InstanceSettings) -> InstanceTiming {
         let mut timing = InstanceTiming::default();
         timing.fleet.gossip_interval = Duration::from_millis(settings.gossip_ms);
@@ -65,7 +65,7 @@
     }
 }
 
-/// The real borders, for an instance with these settings.
+/// Borders that use the system's network, clock and randomness, and the platform of `settings`.
 pub fn system_borders(settings: &InstanceSettings) -> Borders {
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     Borders {
@@ -77,8 +77,8 @@
     }
 }
 
-/// The parts of an instance that answer others.
-pub(crate) struct Parts {
+/// The components of an instance.
+pub(crate) struct Components {
     pub(crate) fleet: Rc<Fleet>,
     pub(crate) groups: Rc<GroupManager>,
     pub(crate) pools: Rc<Pools>,
@@ -91,13 +91,18 @@
 /// A running instance.
 pub struct Instance {
     settings: InstanceSettings,
-    parts: Rc<Parts>,
+    components: Rc<Components>,
     tasks: Vec<compio::runtime::JoinHandle<()>>,
 }
 
 impl Instance {
-    /// Listens on all addresses and starts all work; `incarnation` must be higher than that of any
-    /// earlier run under the same name.
+    /// Listens on all addresses and starts the background tasks.
+    ///
+    /// `incarnation` must be higher than in any earlier run under the same id.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an address can't be listened on or the metrics can't be set up.
     pub async fn start(
         settings: InstanceSettings,
         borders: Borders,
@@ -108,48 +113,55 @@
         let peers = listen("peer_address", settings.peer_address).await?;
         let lanes = listen("lane_address", settings.lane_address).await?;
         let operators = listen("operator_address", settings.operator_address).await?;
-        let parts = Rc::new(assemble(&settings, borders, timing, incarnation));
+        let components = Rc::new(build_components(&settings, borders, timing, incarnation));
         let secret = settings.lane_secret.clone();
         let mut tasks = vec![
-            compio::runtime::spawn(Rc::clone(&parts.fleet).run()),
-            compio::runtime::spawn(Rc::clone(&parts.groups).run()),
-            compio::runtime::spawn(release_moved_targets(Rc::clone(&parts))),
-            compio::runtime::spawn(serve_peers(peers, Rc::clone(&parts) as _)),
-            compio::runtime::spawn(accept_lanes(lanes, Rc::clone(&parts), secret)),
-            compio::runtime::spawn(accept_callers(callers, Rc::clone(&parts.callers))),
+            compio::runtime::spawn(Rc::clone(&components.fleet).run()),
+            compio::runtime::spawn(Rc::clone(&components.groups).run()),
+            compio::runtime::spawn(release_moved_targets(Rc::clone(&components))),
+            compio::runtime::spawn(serve_peers(peers, Rc::clone(&components) as _)),
+            compio::runtime::spawn(accept_lanes(lanes, Rc::clone(&components), secret)),
+            compio::runtime::spawn(accept_callers(callers, Rc::clone(&components.callers))),
         ];
-        let operator = Operator::new(Rc::clone(&parts.fleet), Rc::clone(&parts) as _)?;
+        let operator = Operator::new(Rc::clone(&components.fleet), Rc::clone(&components) as _)?;
         let serve = cyper_axum::serve(operators, gullspar_operator::router(operator));
         tasks.push(compio::runtime::spawn(async move {
             if let Err(err) = serve.await {
-                log::error!("G0101 the operators' API ended: {err}");
+                log::error!("G0101 serving the operator API failed: {err}");
             }
         }));
-        log::info!("G0102 instance {} serves callers on {}", settings.id, settings.caller_address);
-        Ok(Instance { settings, parts, tasks })
+        log::info!(
+            "G0102 instance {} is serving callers on {}",
+            settings.id,
+            settings.caller_address
+        );
+        Ok(Instance { settings, components, tasks })
     }
 
-    /// Runs until `shutdown`, then drains and ends.
+    /// Runs until `shutdown` completes, then drains and returns.
     ///
-    /// New work is refused first; what is in flight is finished, within the time that the settings
-    /// give, and idle callers are told to connect elsewhere.
+    /// While draining, new work is refused, running work is finished and idle callers are told to
+    /// connect elsewhere. Draining ends after `drain_ms` of the settings at the latest.
     pub async fn run(self, shutdown: impl Future<Output = ()>) {
         shutdown.await;
-        let clock = Rc::clone(&self.parts.fleet.borders().clock);
-        log::info!("G0103 instance {} shuts down", self.settings.id);
-        self.parts.fleet.leave();
-        clock.sleep_until(clock.now() + LEAVE_SPREADS_IN).await;
+        let clock = Rc::clone(&self.components.fleet.borders().clock);
+        log::info!("G0103 instance {} is shutting down", self.settings.id);
+        self.components.fleet.leave();
+        clock.sleep_until(clock.now() + LEAVE_PROPAGATION_DELAY).await;
         let deadline = clock.now() + Duration::from_millis(self.settings.drain_ms);
         while clock.now() < deadline && self.has_work() {
-            clock.sleep_until(clock.now() + DRAIN_LOOK).await;
+            clock.sleep_until(clock.now() + DRAIN_POLL_INTERVAL).await;
         }
-        let left = self.parts.callers.connected();
-        log::info!("G0104 instance {} ends with {left} callers left", self.settings.id);
+        let connected = self.components.callers.connected();
+        log::info!(
+            "G0104 instance {} stopped with {connected} callers still connected",
+            self.settings.id
+        );
         drop(self.tasks);
     }
 
     fn has_work(&self) -> bool {
-        self.parts.callers.connected() > 0 || self.parts.pools.busy() > 0
+        self.components.callers.connected() > 0 || self.components.pools.busy() > 0
     }
 }
 
@@ -157,12 +169,12 @@
     TcpListener::bind(address).await.map_err(|err| InstanceError::Listen(option, address, err))
 }
 
-fn assemble(
+fn build_components(
     settings: &InstanceSettings,
     borders: Borders,
     timing: InstanceTiming,
     incarnation: u64,
-) -> Parts {
+) -> Components {
     let own = InstanceRecord {
         id: settings.id.clone(),
         data_centre: settings.data_centre.clone(),
@@ -189,7 +201,7 @@
         Rc::clone(&stats),
         caller_settings,
     );
-    Parts { fleet, groups, pools, lanes: Rc::default(), cancels, callers, stats }
+    Components { fleet, groups, pools, lanes: Rc::default(), cancels, callers, stats }
 }
 
 async fn accept_callers(listener: TcpListener, callers: Rc<CallerServer>) {
@@ -204,12 +216,12 @@
     }
 }
 
-async fn accept_lanes(listener: TcpListener, parts: Rc<Parts>, secret: String) {
+async fn accept_lanes(listener: TcpListener, components: Rc<Components>, secret: String) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let link = Box::new(TcpLink::new(stream));
-                let (pools, lanes) = (Rc::clone(&parts.pools), Rc::clone(&parts.lanes));
+                let (pools, lanes) = (Rc::clone(&components.pools), Rc::clone(&components.lanes));
                 let serve = serve_lanes(link, pools, lanes, secret.clone());
                 compio::runtime::spawn(serve).detach();
             }
@@ -218,15 +230,16 @@
     }
 }
 
-/// Gives up targets that moved to another instance, at each change of instances or configuration.
-async fn release_moved_targets(parts: Rc<Parts>) {
-    /// Bounds how long a change that fell between two looks stays unnoticed.
-    const LOOK_EVERY: Duration = Duration::from_secs(1);
-    let clock = Rc::clone(&parts.fleet.borders().clock);
+/// Drops the pools of targets that moved to another instance, on each change of instances or
+/// configuration.
+async fn release_moved_targets(components: Rc<Components>) {
+    /// Bounds the delay if a change between two checks was missed.
+    const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+    let clock = Rc::clone(&components.fleet.borders().clock);
     loop {
-        let either = future::select(parts.fleet.listen(), parts.fleet.config.listen());
-        parts.pools.release_moved_targets();
-        match within(&*clock, clock.now() + LOOK_EVERY, either).await {
+        let changed = future::select(components.fleet.listen(), components.fleet.config.listen());
+        components.pools.release_moved_targets();
+        match within(&*clock, clock.now() + CHECK_INTERVAL, changed).await {
             Ok(Either::Left(_) | Either::Right(_)) | Err(_) => {}
         }
     }
--- a/crates/gullspar_instance/src/lib.rs
+++ b/crates/gullspar_instance/src/lib.rs
@@ -1,4 +1,4 @@
-//! One instance: all parts put together behind its borders.
+//! Assembles the components of one instance and runs them.
 
 mod instance;
 mod peer_side;
--- a/crates/gullspar_instance/src/peer_side.rs
+++ b/crates/gullspar_instance/src/peer_side.rs
@@ -1,4 +1,4 @@
-//! Answers to other instances.
+//! Handles requests from other instances.
 
 use std::rc::Rc;
 
@@ -8,9 +8,9 @@
 
 use gullspar_operator::OwnReports;
 
-use crate::instance::Parts;
+use crate::instance::Components;
 
-impl PeerHandler for Parts {
+impl PeerHandler for Components {
     fn handle(self: Rc<Self>, req: PeerRequest) -> LocalBoxFuture<'static, PeerReply> {
         async move {
             match req {
--- a/crates/gullspar_instance/src/report.rs
+++ b/crates/gullspar_instance/src/report.rs
@@ -1,13 +1,13 @@
-//! What an instance reports of itself.
+//! The report of an instance's own state.
 
 use gullspar_border::{BurnSeries, ConfigEntry, InstanceReport, MemberReport};
 use gullspar_group::GroupWatch;
 use gullspar_model::TargetKey;
 use gullspar_operator::OwnReports;
 
-use crate::instance::Parts;
+use crate::instance::Components;
 
-impl OwnReports for Parts {
+impl OwnReports for Components {
     fn report(&self) -> InstanceReport {
         let configuration = self
             .fleet
@@ -22,7 +22,7 @@
             callers: self.callers.connected(),
             live_instances: self.fleet.live_count() as u64,
             configuration,
-            members: self.groups.watches().iter().flat_map(|it| self.members(it)).collect(),
+            members: self.groups.watches().iter().flat_map(|it| self.member_reports(it)).collect(),
             outcomes: self.stats.report(),
         }
     }
@@ -32,8 +32,8 @@
     }
 }
 
-impl Parts {
-    fn members(&self, watch: &GroupWatch) -> Vec<MemberReport> {
+impl Components {
+    fn member_reports(&self, watch: &GroupWatch) -> Vec<MemberReport> {
         let spec = watch.spec();
         let reports = spec.members.iter().map(|member| {
             let view = watch.view(&member.name);
--- a/crates/gullspar_instance/src/termination.rs
+++ b/crates/gullspar_instance/src/termination.rs
@@ -1,4 +1,4 @@
-//! Signals that end a process in good order.
+//! Waits for the signals that shut a process down or make it reload its settings.
 
 use futures::future;
 
@@ -9,9 +9,10 @@
 /// `SIGHUP` on Linux.
 const HANG_UP: i32 = 1;
 
-/// Waits for SIGHUP, by which operators say that the settings file has changed.
+/// Waits for SIGHUP, which operators send after changing the settings file.
 ///
-/// Unless somebody waits for it, the signal ends the process.
+/// While nothing waits for it, the signal ends the process. If the signal can't be handled, this
+/// never returns.
 pub async fn hangup_signal() {
     if compio::signal::unix::signal(HANG_UP).await.is_err() {
         future::pending::<()>().await;
@@ -23,7 +24,6 @@
     let interrupt = compio::signal::unix::signal(INTERRUPT);
     let terminate = compio::signal::unix::signal(TERMINATE);
     futures::pin_mut!(interrupt, terminate);
-    // Whichever comes first ends the wait; one that can't be waited for ends the process, which is
-    // seen at once and loses nothing.
+    // An error ends the wait as well, so the process stops instead of running without these signals.
     let _ = future::select(interrupt, terminate).await;
 }
