--- a/crates/gullspar_instance/src/termination.rs
+++ b/crates/gullspar_instance/src/termination.rs
@@ -24,6 +24,6 @@
     let interrupt = compio::signal::unix::signal(INTERRUPT);
     let terminate = compio::signal::unix::signal(TERMINATE);
     futures::pin_mut!(interrupt, terminate);
-    // An error ends the wait as well, so the process stops instead of running without these signals.
+    // An error ends the wait as well, so the process stops rather than run without these signals.
     let _ = future::select(interrupt, terminate).await;
 }
--- a/crates/gullspar_net/src/closing_transport.rs
+++ b/crates/gullspar_net/src/closing_transport.rs
@@ -1,15 +1,14 @@
-//! Lets tarpc close a framed connection.
+//! A transport wrapper that lets tarpc close a framed connection.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
 use futures::{Sink, Stream};
 
-/// Passes everything on to the framed connection inside, until it is closed.
+/// Delegates to the framed connection inside; once closing has begun, a flush continues the close.
 ///
-/// tarpc flushes a transport that it has begun to close, which compio's framed connections answer
-/// with a panic. Seen as "`Framed` is closing, cannot flush" whenever a connection between
-/// instances ended; from then on flushing here means to go on closing.
+/// tarpc flushes a transport that it has begun to close, and compio's framed connections panic on
+/// that ("`Framed` is closing, cannot flush").
 pub(crate) struct ClosingTransport<T> {
     inner: T,
     closing: bool,
--- a/crates/gullspar_net/src/datagram_peers.rs
+++ b/crates/gullspar_net/src/datagram_peers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats as datagrams; snapshots and sessions over connections.
+//! Communication between instances: heartbeats over UDP, snapshots and forwarded sessions over TCP.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,20 +18,20 @@
 use crate::framed::{Framed, Hello};
 use crate::relay_link::{RelayedCaller, TcpHomeLink};
 
-/// The longest heartbeat that is sent, in bytes; it fits a datagram on every usual link.
-const HEARTBEAT_LIMIT: usize = 8 * 1024;
+/// Maximum size of an encoded heartbeat, in bytes. Longer ones are not sent.
+const MAX_HEARTBEAT_BYTES: usize = 8 * 1024;
 
-/// How long an instance that connects may take to say what it wants, and to take a snapshot.
-const SERVE_WITHIN: Duration = Duration::from_secs(2);
+/// Time in which an instance that connects must send its request and receive a snapshot.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The ways to other instances over UDP and TCP, both on the same port.
+/// Reaches other instances over UDP and TCP, on the same port.
 pub struct DatagramPeers {
     socket: UdpSocket,
     clock: Rc<dyn Clock>,
 }
 
 impl DatagramPeers {
-    /// Sends from `socket`.
+    /// Creates a channel that sends datagrams from `socket`.
     pub fn new(socket: UdpSocket, clock: Rc<dyn Clock>) -> DatagramPeers {
         DatagramPeers { socket, clock }
     }
@@ -40,13 +40,13 @@
 impl PeerChannel for DatagramPeers {
     fn send(&self, to: SocketAddr, message: &PeerMessage) {
         let bytes = match postcard::to_stdvec(message) {
-            Ok(bytes) if bytes.len() <= HEARTBEAT_LIMIT => bytes,
+            Ok(bytes) if bytes.len() <= MAX_HEARTBEAT_BYTES => bytes,
             Ok(bytes) => {
-                log::warn!(bytes = bytes.len(); "G0735 a heartbeat is too long and is not sent");
+                log::warn!(bytes = bytes.len(); "G0735 a heartbeat exceeds the size limit and was not sent");
                 return;
             }
             Err(err) => {
-                log::error!(reason = err.to_string().as_str(); "G0736 a heartbeat can't be written");
+                log::error!(reason = err.to_string().as_str(); "G0736 encoding a heartbeat failed");
                 return;
             }
         };
@@ -54,7 +54,7 @@
         let send = async move {
             let BufResult(result, _) = socket.send_to(bytes, to).await;
             if let Err(err) = result {
-                log::debug!(to = to.to_string().as_str(), reason = err.to_string().as_str(); "G0737 a heartbeat was not sent");
+                log::debug!(to = to.to_string().as_str(), reason = err.to_string().as_str(); "G0737 sending a heartbeat failed");
             }
         };
         compio::runtime::spawn(send).detach();
@@ -83,12 +83,12 @@
     fn open_session(
         &self,
         to: SocketAddr,
-        handed_on: ForwardedSession,
+        session: ForwardedSession,
         deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<Box<dyn HomeLink>, PeerError>> {
         let clock = Rc::clone(&self.clock);
         async move {
-            let opened = within(&*clock, deadline, TcpHomeLink::open(to, handed_on)).await;
+            let opened = within(&*clock, deadline, TcpHomeLink::open(to, session)).await;
             let link = opened.map_err(|_| PeerError::no_answer("the deadline passed"))??;
             Ok(Box::new(link) as Box<dyn HomeLink>)
         }
@@ -96,16 +96,16 @@
     }
 }
 
-/// Takes the heartbeats that arrive on `socket`; never ends.
+/// Receives heartbeats on `socket` and gives them to `proxy`; never returns.
 pub async fn receive_heartbeats(socket: UdpSocket, proxy: Rc<Proxy>) {
     loop {
-        let buf = Vec::with_capacity(HEARTBEAT_LIMIT);
+        let buf = Vec::with_capacity(MAX_HEARTBEAT_BYTES);
         let BufResult(received, buf) = socket.recv_from(buf).await;
         match received {
             Ok((length, from)) => match postcard::from_bytes(&buf[..length.min(buf.len())]) {
                 Ok(message) => proxy.handle_message(message),
                 Err(err) => {
-                    log::debug!(from = from.to_string().as_str(), reason = err.to_string().as_str(); "G0738 a heartbeat is unreadable");
+                    log::debug!(from = from.to_string().as_str(), reason = err.to_string().as_str(); "G0738 decoding a heartbeat failed");
                 }
             },
             Err(err) => {
@@ -115,8 +115,8 @@
     }
 }
 
-/// Answers other instances on `listener`: snapshots, and sessions of callers that they hand on; never
-/// ends.
+/// Serves other instances on `listener`: snapshot requests and forwarded callers' sessions; never
+/// returns.
 pub async fn serve_instances(listener: TcpListener, proxy: Rc<Proxy>, clock: Rc<dyn Clock>) {
     loop {
         match listener.accept().await {
@@ -125,7 +125,7 @@
                 compio::runtime::spawn(serve).detach();
             }
             Err(err) => {
-                log::warn!(reason = err.to_string().as_str(); "G0740 accepting an instance failed");
+                log::warn!(reason = err.to_string().as_str(); "G0740 accepting a connection from an instance failed");
                 clock.sleep_until(clock.now() + Duration::from_millis(50)).await;
             }
         }
@@ -134,20 +134,20 @@
 
 async fn serve_instance(stream: TcpStream, proxy: Rc<Proxy>, clock: Rc<dyn Clock>) {
     let mut framed = Framed::new(TcpLink::new(stream));
-    let deadline = clock.now() + SERVE_WITHIN;
+    let deadline = clock.now() + REQUEST_TIMEOUT;
     match within(&*clock, deadline, framed.read()).await {
         Ok(Ok(Some(Hello::Snapshot(req)))) => {
             let snapshot = proxy.snapshot(req);
-            // Whoever asked and hears nothing asks again, here or elsewhere.
+            // An instance that gets no snapshot repeats its request, here or elsewhere.
             let _ = within(&*clock, deadline, framed.write(&snapshot)).await;
         }
-        Ok(Ok(Some(Hello::Session(handed_on)))) => {
-            serve_relayed_caller(proxy, Box::new(RelayedCaller { framed }), handed_on).await;
+        Ok(Ok(Some(Hello::Session(session)))) => {
+            serve_relayed_caller(proxy, Box::new(RelayedCaller { framed }), session).await;
         }
         Ok(Ok(None)) => {}
         Ok(Err(err)) => {
-            log::debug!(reason = err.to_string().as_str(); "G0748 an instance's greeting is unreadable");
+            log::debug!(reason = err.to_string().as_str(); "G0748 reading the first message of an instance failed");
         }
-        Err(_) => log::debug!("G0749 an instance connected and said nothing"),
+        Err(_) => log::debug!("G0749 an instance connected but sent no request before the timeout"),
     }
 }
--- a/crates/gullspar_net/src/framed.rs
+++ b/crates/gullspar_net/src/framed.rs
@@ -1,4 +1,4 @@
-//! Messages between instances, each with its length before it.
+//! Length-prefixed messages between instances.
 
 use bytes::{Buf, BytesMut};
 use gullspar_border::{Link, PeerError};
@@ -9,26 +9,26 @@
 
 use crate::TcpLink;
 
-/// The longest message that is read, in bytes: a configuration of some thousand services.
-const MESSAGE_LIMIT: usize = 8 * 1024 * 1024;
+/// Maximum size of a received message, in bytes; a configuration of some thousand services fits.
+const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Bytes of the length.
+/// Size of the length prefix, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Memory that an idle connection holds for reading, in bytes.
-const READ_ROOM: usize = 1024;
+/// Free buffer space reserved before each read, in bytes; an idle connection holds this much.
+const READ_RESERVE_BYTES: usize = 1024;
 
 record! {
-    /// What a connection between instances begins with.
+    /// The first message on a connection between instances.
     pub(crate) enum Hello {
-        /// Asks for what is newer; one snapshot answers it.
+        /// Requests a newer catalogue and target list; answered with one snapshot.
         Snapshot(SnapshotRequest),
         /// A caller's session follows.
         Session(ForwardedSession),
     }
 }
 
-/// A link that carries messages.
+/// Sends and receives messages over a link.
 pub(crate) struct Framed {
     link: TcpLink,
     buf: BytesMut,
@@ -40,6 +40,10 @@
     }
 
     /// Sends one message.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the message can't be encoded or the connection is broken.
     pub(crate) async fn write<T: Serialize>(&mut self, message: &T) -> Result<(), PeerError> {
         let body = postcard::to_stdvec(message).map_err(PeerError::no_answer)?;
         let mut buf = BytesMut::with_capacity(LENGTH_BYTES + body.len());
@@ -49,15 +53,21 @@
         Ok(())
     }
 
-    /// The next message; `None` at the end. A call that is dropped loses nothing.
+    /// Receives the next message; `None` at the end of the connection.
+    ///
+    /// Cancel safe: dropping the call loses no data.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection is broken, or if the message is too long or malformed.
     pub(crate) async fn read<T: DeserializeOwned>(&mut self) -> Result<Option<T>, PeerError> {
         loop {
-            if let Some(message) = self.take()? {
+            if let Some(message) = self.take_message()? {
                 return Ok(Some(message));
             }
             let before = self.buf.len();
             let mut buf = std::mem::take(&mut self.buf);
-            buf.reserve(READ_ROOM);
+            buf.reserve(READ_RESERVE_BYTES);
             self.buf = self.link.recv(buf).await.map_err(PeerError::no_answer)?;
             if self.buf.len() == before {
                 return Ok(None);
@@ -65,10 +75,10 @@
         }
     }
 
-    fn take<T: DeserializeOwned>(&mut self) -> Result<Option<T>, PeerError> {
+    fn take_message<T: DeserializeOwned>(&mut self) -> Result<Option<T>, PeerError> {
         let Some(length) = self.buf.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > MESSAGE_LIMIT {
+        if length > MAX_MESSAGE_BYTES {
             return Err(PeerError::no_answer("the message is too long"));
         }
         if self.buf.len() < LENGTH_BYTES + length {
@@ -79,7 +89,7 @@
         postcard::from_bytes(&body).map(Some).map_err(PeerError::no_answer)
     }
 
-    /// Whether nothing waits to be read, the end of the connection included.
+    /// Whether there is nothing to read, neither a message nor the end of the connection.
     pub(crate) fn is_quiet(&self) -> bool {
         self.buf.is_empty() && self.link.is_quiet()
     }
--- a/crates/gullspar_net/src/http_platform.rs
+++ b/crates/gullspar_net/src/http_platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP with JSON.
+//! Client of the platform's JSON API over HTTP.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,11 +22,11 @@
     clock: Rc<dyn Clock>,
 }
 
-/// How long the platform may take to answer, apart from the waiting that a watch asks for.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1500);
+/// Time in which the platform must answer, not counting the wait that a watch requests.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl HttpPlatform {
-    /// A client of the platform at `address`.
+    /// Creates a client of the platform at `address`.
     pub fn new(address: SocketAddr, clock: Rc<dyn Clock>) -> HttpPlatform {
         #[allow(clippy::expect_used)]
         let client = Client::new().expect("a client without TLS needs nothing from the system");
@@ -41,12 +41,12 @@
         &self,
         builder: cyper::Result<cyper::RequestBuilder>,
         deadline: Instant,
-    ) -> Result<HttpAnswer, PlatformError> {
+    ) -> Result<HttpResponse, PlatformError> {
         let exchange = async {
             let response = builder?.send().await?;
             let status = response.status().as_u16();
             let text = response.text().await?;
-            Ok::<_, cyper::Error>(HttpAnswer { status, text })
+            Ok::<_, cyper::Error>(HttpResponse { status, text })
         };
         match within(&*self.clock, deadline, exchange).await {
             Ok(Ok(answer)) if answer.status >= 500 => Err(no_answer(answer.text)),
@@ -57,17 +57,17 @@
     }
 
     fn deadline(&self, wait_ms: u64) -> Instant {
-        self.clock.now() + ANSWER_WITHIN + Duration::from_millis(wait_ms)
+        self.clock.now() + RESPONSE_TIMEOUT + Duration::from_millis(wait_ms)
     }
 }
 
-struct HttpAnswer {
+struct HttpResponse {
     status: u16,
     text: String,
 }
 
-impl HttpAnswer {
-    fn read<T: serde::de::DeserializeOwned>(&self) -> Result<T, PlatformError> {
+impl HttpResponse {
+    fn decode<T: serde::de::DeserializeOwned>(&self) -> Result<T, PlatformError> {
         if self.status != 200 {
             return Err(PlatformError::Refused(format!("{}: {}", self.status, self.text)));
         }
@@ -79,7 +79,7 @@
     PlatformError::NoAnswer(reason.to_string())
 }
 
-fn stored(it: WireObject) -> StoredObject {
+fn to_stored_object(it: WireObject) -> StoredObject {
     StoredObject { key: it.key, version: ObjectVersion(it.version), value: it.value.to_string() }
 }
 
@@ -94,7 +94,7 @@
             if answer.status == 404 {
                 return Ok(None);
             }
-            answer.read::<WireObject>().map(|it| Some(stored(it)))
+            answer.decode::<WireObject>().map(|it| Some(to_stored_object(it)))
         }
         .boxed_local()
     }
@@ -116,7 +116,7 @@
                 let actual: PutReply = serde_json::from_str(&answer.text).map_err(no_answer)?;
                 return Err(PlatformError::Conflict(ObjectVersion(actual.version)));
             }
-            answer.read::<PutReply>().map(|it| ObjectVersion(it.version))
+            answer.decode::<PutReply>().map(|it| ObjectVersion(it.version))
         }
         .boxed_local()
     }
@@ -131,8 +131,8 @@
             let path = format!("watch?prefix={prefix}&revision={revision}&wait_ms={wait_ms}");
             let answer =
                 self.send(self.client.get(self.url(&path)), self.deadline(wait_ms)).await?;
-            let list: ObjectList = answer.read()?;
-            let changed = list.objects.into_iter().map(stored).collect();
+            let list: ObjectList = answer.decode()?;
+            let changed = list.objects.into_iter().map(to_stored_object).collect();
             Ok(WatchReply { revision: list.revision, changed })
         }
         .boxed_local()
@@ -142,7 +142,7 @@
         async move {
             let answer =
                 self.send(self.client.get(self.url("instances")), self.deadline(0)).await?;
-            let list: InstanceList = answer.read()?;
+            let list: InstanceList = answer.decode()?;
             let entries = list.instances.into_iter().map(|it| PlatformInstance {
                 id: InstanceId::new(it.id),
                 peer: it.peer,
--- a/crates/gullspar_net/src/lib.rs
+++ b/crates/gullspar_net/src/lib.rs
@@ -1,5 +1,5 @@
-//! The real sides of the borders: TCP, the platform over HTTP, calls between instances over tarpc,
-//! the system's clock and randomness.
+//! Implementations of the borders on the real system: TCP, the platform over HTTP, calls between
+//! instances over tarpc, and the system's clock and randomness.
 
 mod closing_transport;
 mod datagram_peers;
--- a/crates/gullspar_net/src/peer_codec.rs
+++ b/crates/gullspar_net/src/peer_codec.rs
@@ -1,4 +1,4 @@
-//! Calls between instances as bytes.
+//! Encoding of calls between instances.
 
 use std::io;
 
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Encodes with postcard, whose integers take only the bytes they need.
+/// Encodes and decodes with postcard, a compact binary format.
 #[derive(Clone, Copy)]
 pub(crate) struct PeerCodec;
 
--- a/crates/gullspar_net/src/peer_server.rs
+++ b/crates/gullspar_net/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers calls of other instances.
+//! Serves calls from other instances.
 
 use std::rc::Rc;
 
@@ -15,20 +15,21 @@
 use crate::peer_codec::PeerCodec;
 use crate::peer_service::PeerService;
 
-/// A call on its way to the instance's own thread state.
-type Incoming = (PeerRequest, oneshot::Sender<PeerReply>);
+/// A call to the instance, with the channel for its reply.
+type IncomingCall = (PeerRequest, oneshot::Sender<PeerReply>);
 
-/// Hands calls over to the handler's task: tarpc's server must be `Send`, the instance's state,
-/// which lives on one thread, is not.
+/// Forwards calls to the handler's task.
+///
+/// tarpc requires a `Send` server, but the handler is bound to one thread.
 #[derive(Clone)]
 struct Forwarder {
-    tx: mpsc::UnboundedSender<Incoming>,
+    tx: mpsc::UnboundedSender<IncomingCall>,
 }
 
 impl PeerService for Forwarder {
     async fn call(self, _: Context, req: PeerRequest) -> PeerReply {
         let (tx, rx) = oneshot::channel();
-        // A closed channel means that the instance is ending; the caller sees its call unanswered.
+        // The channel is closed if the instance is shutting down; the call then gets no reply.
         let _ = self.tx.unbounded_send((req, tx));
         match rx.await {
             Ok(reply) => reply,
@@ -37,14 +38,14 @@
     }
 }
 
-/// Accepts other instances on `listener` for as long as the task lives.
+/// Accepts other instances on `listener` and answers their calls with `handler`; never returns.
 pub async fn serve_peers(listener: TcpListener, handler: Rc<dyn PeerHandler>) {
-    let (tx, mut rx) = mpsc::unbounded::<Incoming>();
+    let (tx, mut rx) = mpsc::unbounded::<IncomingCall>();
     compio::runtime::spawn(async move {
         while let Some((req, reply)) = rx.next().await {
             let handling = Rc::clone(&handler).handle(req);
             compio::runtime::spawn(async move {
-                // The asking instance may be gone by now; then nobody needs the reply.
+                // Sending fails if the calling instance has disconnected.
                 let _ = reply.send(handling.await);
             })
             .detach();
@@ -57,13 +58,13 @@
                 compio::runtime::spawn(serve_connection(stream, Forwarder { tx: tx.clone() }))
                     .detach();
             }
-            Err(err) => log::warn!("G0301 accepting an instance failed: {err}"),
+            Err(err) => log::warn!("G0301 accepting a connection from an instance failed: {err}"),
         }
     }
 }
 
 async fn serve_connection(stream: TcpStream, forwarder: Forwarder) {
-    // A stream that refuses the option still works, only slower.
+    // Without this option the stream still works, only slower.
     let _ = stream.set_nodelay(true);
     let transport = Framed::new::<
         tarpc::Response<crate::peer_service::PeerServiceResponse>,
--- a/crates/gullspar_net/src/peer_service.rs
+++ b/crates/gullspar_net/src/peer_service.rs
@@ -2,8 +2,8 @@
 
 use gullspar_border::{PeerReply, PeerRequest};
 
-/// One call for everything: the request tells what is asked, so that a test's stand-in for the
-/// [`Peers`](gullspar_border::Peers) border has one method to write.
+/// A single method for all requests, so that a test double of the [`Peers`](gullspar_border::Peers)
+/// border needs to implement only one.
 #[tarpc::service]
 pub(crate) trait PeerService {
     async fn call(req: PeerRequest) -> PeerReply;
--- a/crates/gullspar_net/src/platform_types.rs
+++ b/crates/gullspar_net/src/platform_types.rs
@@ -1,9 +1,9 @@
-//! The platform's HTTP bodies.
+//! JSON bodies of the platform's HTTP API.
 
 use gullspar_model::record;
 
 record! {
-    /// An object as the platform writes it.
+    /// An object in the platform's representation.
     pub struct WireObject {
         pub key: String,
         pub version: u64,
@@ -20,7 +20,7 @@
 }
 
 record! {
-    /// A conditional update: `expected` 0 creates.
+    /// A conditional update of the version `expected`; 0 creates the object.
     pub struct PutBody {
         pub expected: u64,
         pub value: serde_json::Value,
@@ -28,14 +28,14 @@
 }
 
 record! {
-    /// The answer to an update: the new version, or with status 409 the present one.
+    /// The answer to an update: the new version, or the current one with status 409 (conflict).
     pub struct PutReply {
         pub version: u64,
     }
 }
 
 record! {
-    /// One entry of the list of instances.
+    /// An entry in the list of instances.
     pub struct StoredInstance {
         pub id: String,
         pub peer: std::net::SocketAddr,
@@ -44,7 +44,7 @@
 }
 
 record! {
-    /// The list of instances.
+    /// The answer to a request for the instances.
     pub struct InstanceList {
         pub instances: Vec<StoredInstance>,
     }
--- a/crates/gullspar_net/src/relay_link.rs
+++ b/crates/gullspar_net/src/relay_link.rs
@@ -1,4 +1,4 @@
-//! Sessions between instances: messages with a length before each, over TCP.
+//! Forwarded sessions between instances, as length-prefixed messages over TCP.
 
 use std::net::SocketAddr;
 
@@ -12,20 +12,20 @@
 use crate::TcpLink;
 use crate::framed::{Framed, Hello};
 
-/// The way to a home.
+/// A connection to a home, for one forwarded session.
 pub(crate) struct TcpHomeLink {
     framed: Framed,
 }
 
 impl TcpHomeLink {
-    /// Connects to the instance at `to` for one session.
+    /// Connects to the instance at `to` and opens the session there.
     pub(crate) async fn open(
         to: SocketAddr,
-        handed_on: ForwardedSession,
+        session: ForwardedSession,
     ) -> Result<TcpHomeLink, PeerError> {
         let stream = TcpStream::connect(to).await.map_err(PeerError::no_answer)?;
         let mut framed = Framed::new(TcpLink::new(stream));
-        framed.write(&Hello::Session(handed_on)).await?;
+        framed.write(&Hello::Session(session)).await?;
         Ok(TcpHomeLink { framed })
     }
 }
--- a/crates/gullspar_net/src/system_clock.rs
+++ b/crates/gullspar_net/src/system_clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the machine.
+//! The system's clock.
 
 use std::time::{Duration, Instant};
 
@@ -16,7 +16,7 @@
 
     fn boot_now(&self) -> BootInstant {
         let read = nix::time::clock_gettime(nix::time::ClockId::CLOCK_BOOTTIME);
-        // Linux has had this clock since 2.6.39, and reading it can't fail otherwise.
+        // Reading this clock fails only on Linux before 2.6.39, which does not have it.
         let since_boot = read.map(Duration::from).unwrap_or_default();
         BootInstant(since_boot.as_micros() as u64)
     }
--- a/crates/gullspar_net/src/system_entropy.rs
+++ b/crates/gullspar_net/src/system_entropy.rs
@@ -1,8 +1,8 @@
-//! The randomness of the machine.
+//! The system's source of randomness.
 
 use gullspar_border::Entropy;
 
-/// Draws from the thread's generator, which the operating system seeds.
+/// Uses the thread's random number generator, which is seeded by the operating system.
 pub struct SystemEntropy;
 
 impl Entropy for SystemEntropy {
--- a/crates/gullspar_net/src/tarpc_peers.rs
+++ b/crates/gullspar_net/src/tarpc_peers.rs
@@ -19,14 +19,14 @@
 use crate::peer_codec::PeerCodec;
 use crate::peer_service::{PeerServiceClient, PeerServiceRequest, PeerServiceResponse};
 
-/// One connection to each instance called so far, opened on first use.
+/// Calls instances over one connection to each, which is opened on first use.
 pub struct TarpcPeers {
     clock: Rc<dyn Clock>,
     clients: Rc<RefCell<HashMap<SocketAddr, PeerServiceClient>>>,
 }
 
 impl TarpcPeers {
-    /// Peers whose deadlines are measured on `clock`.
+    /// Creates a client that measures deadlines on `clock`.
     pub fn new(clock: Rc<dyn Clock>) -> TarpcPeers {
         TarpcPeers { clock, clients: Rc::default() }
     }
@@ -34,7 +34,7 @@
 
 async fn connect(to: SocketAddr) -> Result<PeerServiceClient, PeerError> {
     let stream = TcpStream::connect(to).await.map_err(PeerError::no_answer)?;
-    // A stream that refuses the option still works, only slower.
+    // Without this option the stream still works, only slower.
     let _ = stream.set_nodelay(true);
     let transport = Framed::new::<
         tarpc::ClientMessage<PeerServiceRequest>,
@@ -43,7 +43,7 @@
     .with_duplex(stream);
     let created = PeerServiceClient::new(Config::default(), ClosingTransport::new(transport));
     compio::runtime::spawn(async move {
-        // An error here ends the connection; the calls in flight see it as theirs.
+        // An error ends the connection, and each call in flight fails with it.
         let _ = created.dispatch.await;
     })
     .detach();
@@ -78,7 +78,7 @@
                 .await
                 .unwrap_or_else(|_| Err(PeerError::no_answer("the deadline passed")));
             if result.is_err() {
-                // The connection may be broken or stuck; the next call opens a fresh one.
+                // The connection may be broken or stalled; the next call opens a new one.
                 clients.borrow_mut().remove(&to);
             }
             result
--- a/crates/gullspar_net/src/tcp_dialer.rs
+++ b/crates/gullspar_net/src/tcp_dialer.rs
@@ -18,7 +18,7 @@
 }
 
 impl TcpDialer {
-    /// A dialer that measures deadlines on `clock`.
+    /// Creates a dialer that measures deadlines on `clock`.
     pub fn new(clock: Rc<dyn Clock>) -> TcpDialer {
         TcpDialer { clock }
     }
--- a/crates/gullspar_net/src/tcp_link.rs
+++ b/crates/gullspar_net/src/tcp_link.rs
@@ -1,4 +1,4 @@
-//! A link over TCP.
+//! Links over TCP.
 
 use std::io;
 use std::time::Duration;
@@ -11,38 +11,38 @@
 use futures::future::LocalBoxFuture;
 use gullspar_border::Link;
 
-/// How long sent bytes may stay unacknowledged before the system gives the connection up.
+/// How long sent bytes may stay unacknowledged before the system closes the connection.
 ///
-/// Guards against a peer that went dark or a connection that went silent: without it a write looks
-/// sent for a quarter of an hour. Three seconds is what targets allow a silent connection as well.
-const UNACKNOWLEDGED_FOR: Duration = Duration::from_millis(3000);
+/// Detects an unresponsive peer; without it the system retransmits for about 15 minutes. Targets
+/// use the same timeout for silent connections.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Silence after which an idle connection is probed, and the time between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// Idle time before the first keepalive probe, and the time between probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which the connection is given up.
-const PROBES: u32 = 3;
+/// Number of unanswered keepalive probes after which the connection is closed.
+const MAX_UNANSWERED_PROBES: u32 = 3;
 
-/// One TCP connection.
+/// A TCP connection.
 pub struct TcpLink {
     stream: TcpStream,
-    /// A read that was given up half way; it still owns its buffer and what arrives in it.
-    reading: Option<LocalBoxFuture<'static, BufResult<usize, BytesMut>>>,
+    /// A read whose future was dropped before completion; it owns the buffer and receives the data.
+    pending_read: Option<LocalBoxFuture<'static, BufResult<usize, BytesMut>>>,
 }
 
 impl TcpLink {
-    /// Wraps a connected stream, sends small messages at once and notices a peer that went dark.
+    /// Wraps a connected stream, disables Nagle's algorithm and enables keepalive probes.
     pub fn new(stream: TcpStream) -> TcpLink {
-        // Without it a small answer may wait 40 ms for the acknowledgement of the one before.
-        // A stream that refuses an option still works, only slower to answer or to notice a loss.
+        // Without `nodelay` a small answer may wait 40 ms for the previous one's acknowledgement.
+        // If an option can't be set, the stream works, but answers or detects failures more slowly.
         let _ = stream.set_nodelay(true);
         let keepalive = socket2::TcpKeepalive::new()
-            .with_time(PROBE_EVERY)
-            .with_interval(PROBE_EVERY)
-            .with_retries(PROBES);
+            .with_time(PROBE_INTERVAL)
+            .with_interval(PROBE_INTERVAL)
+            .with_retries(MAX_UNANSWERED_PROBES);
         let _ = socket2::SockRef::from(&stream).set_tcp_keepalive(&keepalive);
-        let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_FOR));
-        TcpLink { stream, reading: None }
+        let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
+        TcpLink { stream, pending_read: None }
     }
 }
 
@@ -60,11 +60,11 @@
     fn recv(&mut self, buf: BytesMut) -> LocalBoxFuture<'_, io::Result<BytesMut>> {
         async move {
             let mut stream = self.stream.clone();
-            let reading = self
-                .reading
+            let pending_read = self
+                .pending_read
                 .get_or_insert_with(|| async move { stream.append(buf).await }.boxed_local());
-            let BufResult(result, buf) = reading.await;
-            self.reading = None;
+            let BufResult(result, buf) = pending_read.await;
+            self.pending_read = None;
             result?;
             Ok(buf)
         }
--- a/crates/gullspar_net/src/timer_context.rs
+++ b/crates/gullspar_net/src/timer_context.rs
@@ -1,13 +1,12 @@
-//! The timers that tarpc needs.
+//! The tokio timers that tarpc uses.
 
 use std::sync::OnceLock;
 
 use tokio::runtime::{Builder, EnterGuard, Handle};
 
-/// Enters the context in which tarpc's timers work, for as long as the guard lives.
+/// Enters a tokio context for tarpc's timers, until the guard is dropped.
 ///
-/// tarpc takes its timers from tokio. One thread of the process turns them; no input or output of
-/// ours runs there.
+/// One thread of the process drives the timers. It does no input or output.
 pub fn enter_timer_context() -> EnterGuard<'static> {
     static TIMERS: OnceLock<Handle> = OnceLock::new();
     TIMERS.get_or_init(start_timer_thread).enter()
