--- a/crates/gullspar_instance/src/instance.rs
+++ b/crates/gullspar_instance/src/instance.rs
@@ -20,7 +20,7 @@
 };
 use gullspar_operator::{MetricsError, Operator};
 use gullspar_settings::InstanceSettings;
-use gullspar_target::{ActiveLanes, Lanes, Pools, serve_lanes};
+use gullspar_target::{ActiveLanes, Lanes, Pools, serve_lane};
 use quick_error::quick_error;
 
 /// Delay between announcing a shutdown and draining, so that other instances learn of it first.
@@ -222,7 +222,7 @@
             Ok((stream, _)) => {
                 let link = Box::new(TcpLink::new(stream));
                 let (pools, lanes) = (Rc::clone(&components.pools), Rc::clone(&components.lanes));
-                let serve = serve_lanes(link, pools, lanes, secret.clone());
+                let serve = serve_lane(link, pools, lanes, secret.clone());
                 compio::runtime::spawn(serve).detach();
             }
             Err(err) => log::warn!("G0308 accepting a lane failed: {err}"),
--- a/crates/gullspar_target/src/lane_server.rs
+++ b/crates/gullspar_target/src/lane_server.rs
@@ -42,7 +42,7 @@
 /// Serves one lane until the other instance closes it.
 ///
 /// The other instance must authenticate with `secret`.
-pub async fn serve_lanes(
+pub async fn serve_lane(
     link: Box<dyn Link>,
     pools: Rc<Pools>,
     active: Rc<ActiveLanes>,
--- a/crates/gullspar_target/src/lib.rs
+++ b/crates/gullspar_target/src/lib.rs
@@ -18,7 +18,7 @@
 
 pub use admission::{Admission, Permit};
 pub use lane::{Canceller, FrameSink, Lane, LaneError, Lanes, Unit};
-pub use lane_server::{ActiveLanes, serve_lanes};
+pub use lane_server::{ActiveLanes, serve_lane};
 pub use local_lane::LocalLane;
 pub use pools::{PoolReport, Pools};
 pub use remote_lane::RemoteLane;
