--- a/crates/gullspar_bench/benches/failover.rs
+++ b/crates/gullspar_bench/benches/failover.rs
@@ -7,7 +7,7 @@
 
 use gullspar_bench::{Bounds, Deployment, Percentiles};
 use gullspar_lab::{
-    FaultChange, History, Lab, TargetFault, Verdict, Violations, Workload, WorkloadSettings,
+    FaultChange, History, Lab, RequestOutcome, TargetFault, Violations, Workload, WorkloadSettings,
 };
 
 /// Time after a fault within which the gap is looked for.
@@ -74,7 +74,7 @@
         std::thread::sleep(Duration::from_millis(700));
     }
     let total = all.writes.len();
-    let unknown = all.count(Verdict::Unknown);
+    let unknown = all.count(RequestOutcome::Unknown);
     let promotions = lab.term(&group) - first_term;
     println!(
         "{:<11} {failure:<8} {runs:>4} {:>11.0} {:>11.0} {total:>7} {unknown:>8} {promotions:>11}",
--- a/crates/gullspar_bench/src/closed_loop.rs
+++ b/crates/gullspar_bench/src/closed_loop.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use gullspar_lab::{Client, Verdict};
+use gullspar_lab::{Client, RequestOutcome};
 
 use crate::Percentiles;
 
@@ -89,7 +89,7 @@
         let address = self.addresses[number % self.addresses.len()];
         loop {
             let connecting = if self.bare {
-                Client::connect_bare(address).await
+                Client::connect_to_target(address).await
             } else {
                 Client::connect(address, &self.user, &self.service, None).await
             };
@@ -103,14 +103,14 @@
                 let took = started.elapsed();
                 if phase.get() == Phase::Measure {
                     let mut result = result.borrow_mut();
-                    match answer.verdict() {
-                        Verdict::Done => result.done.add(took),
-                        Verdict::NotRun => result.refused.add(took),
-                        Verdict::Unknown => result.unknown += 1,
-                        Verdict::Failed => result.failed += 1,
+                    match answer.outcome() {
+                        RequestOutcome::Done => result.done.add(took),
+                        RequestOutcome::NotRun => result.refused.add(took),
+                        RequestOutcome::Unknown => result.unknown += 1,
+                        RequestOutcome::Failed => result.failed += 1,
                     }
                 }
-                if answer.verdict() == Verdict::NotRun {
+                if answer.outcome() == RequestOutcome::NotRun {
                     compio::time::sleep(Duration::from_millis(20)).await;
                 }
                 if !self.pause.is_zero() {
--- a/crates/gullspar_bench/src/deployment.rs
+++ b/crates/gullspar_bench/src/deployment.rs
@@ -39,7 +39,7 @@
         #[allow(clippy::expect_used)]
         let lab = Lab::start(settings).expect("loopback addresses are free");
         let deadline = Instant::now() + Duration::from_secs(20);
-        while !lab.is_led() {
+        while !lab.has_all_primaries() {
             assert!(Instant::now() < deadline, "no primaries in time");
             std::thread::sleep(Duration::from_millis(20));
         }
--- a/crates/gullspar_lab/src/borders.rs
+++ b/crates/gullspar_lab/src/borders.rs
@@ -85,7 +85,7 @@
         let (inner, clock, side) =
             (Rc::clone(&self.inner), Rc::clone(&self.clock), self.side.clone());
         async move {
-            let other = side.network.place_of(address).unwrap_or_else(|| side.own.clone());
+            let other = side.network.data_centre_of(address).unwrap_or_else(|| side.own.clone());
             if side.is_cut(&other) {
                 clock.sleep_until(deadline).await;
                 return Err(io::ErrorKind::TimedOut.into());
@@ -170,7 +170,7 @@
         let (inner, clock, side) =
             (Rc::clone(&self.inner), Rc::clone(&self.clock), self.side.clone());
         async move {
-            let other = side.network.place_of(to).unwrap_or_else(|| side.own.clone());
+            let other = side.network.data_centre_of(to).unwrap_or_else(|| side.own.clone());
             if side.is_cut(&other) {
                 clock.sleep_until(deadline).await;
                 return Err(PeerError::NoAnswer("the link is cut".to_owned()));
@@ -205,7 +205,7 @@
         let deadline = self.clock.now() + PLATFORM_ANSWERS_WITHIN;
         loop {
             let changed = network.faults.listen();
-            if !network.faults.platform_cut(own) {
+            if !network.faults.is_platform_cut(own) {
                 return Ok(());
             }
             if within(&*self.clock, deadline, changed).await.is_err() {
--- a/crates/gullspar_lab/src/client.rs
+++ b/crates/gullspar_lab/src/client.rs
@@ -66,7 +66,7 @@
     }
 
     /// Connects to a target itself, which asks for no password.
-    pub async fn connect_bare(address: SocketAddr) -> Result<Client, WireError> {
+    pub async fn connect_to_target(address: SocketAddr) -> Result<Client, WireError> {
         let mut client = Client::dial(address).await?;
         client.channel.queue(&startup(&[("user", "bench"), ("database", "postgres")]));
         client.channel.flush().await?;
@@ -168,21 +168,23 @@
 
 impl Answer {
     /// What the caller was told: it ran, it did not run, or nobody knows.
-    pub fn verdict(&self) -> Verdict {
+    pub fn outcome(&self) -> RequestOutcome {
         match &self.error {
-            None => Verdict::Done,
-            Some(report) if report.code == gullspar_model::Unknown::SQL_STATE => Verdict::Unknown,
+            None => RequestOutcome::Done,
+            Some(report) if report.code == gullspar_model::Unknown::SQL_STATE => {
+                RequestOutcome::Unknown
+            }
             Some(report) if report.hint.as_deref().is_some_and(|it| it.starts_with("not run")) => {
-                Verdict::NotRun
+                RequestOutcome::NotRun
             }
-            Some(_) => Verdict::Failed,
+            Some(_) => RequestOutcome::Failed,
         }
     }
 }
 
 /// What a caller was told of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RequestOutcome {
     Done,
     NotRun,
     Unknown,
--- a/crates/gullspar_lab/src/faults.rs
+++ b/crates/gullspar_lab/src/faults.rs
@@ -161,17 +161,17 @@
     }
 
     /// Whether the platform can't be reached from `from`.
-    pub fn platform_cut(&self, from: &DataCentre) -> bool {
+    pub fn is_platform_cut(&self, from: &DataCentre) -> bool {
         self.lock().isolated.contains(from)
     }
 
     /// Whether the platform refuses everything.
-    pub fn platform_out(&self) -> bool {
+    pub fn is_platform_out(&self) -> bool {
         self.lock().platform_out
     }
 
     /// Whether the answer to the update just carried out is lost.
-    pub fn loses_answer(&self) -> bool {
+    pub fn consume_lost_answer(&self) -> bool {
         let mut state = self.lock();
         let lose = state.lose_answers > 0;
         state.lose_answers = state.lose_answers.saturating_sub(1);
--- a/crates/gullspar_lab/src/history.rs
+++ b/crates/gullspar_lab/src/history.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::client::Verdict;
+use crate::client::RequestOutcome;
 
 /// One write and what its caller was told.
 #[derive(Clone, Debug)]
 pub struct WriteRecord {
     pub id: String,
-    pub verdict: Verdict,
-    pub asked_at: Instant,
+    pub outcome: RequestOutcome,
+    pub sent_at: Instant,
     pub answered_at: Instant,
 }
 
@@ -29,9 +29,9 @@
     /// Told done, but not there.
     pub lost: Vec<String>,
     /// There more than once.
-    pub doubled: Vec<String>,
+    pub duplicated: Vec<String>,
     /// Told not run, but there.
-    pub ran_after_all: Vec<String>,
+    pub applied_despite_refusal: Vec<String>,
     pub stale: Vec<String>,
 }
 
@@ -59,26 +59,28 @@
         let mut violations = Violations { stale: self.stale.clone(), ..Violations::default() };
         for write in &self.writes {
             let count = counts.get(write.id.as_str()).copied().unwrap_or(0);
-            match (write.verdict, count) {
-                (Verdict::Done, 0) => violations.lost.push(write.id.clone()),
-                (Verdict::NotRun, 1..) => violations.ran_after_all.push(write.id.clone()),
+            match (write.outcome, count) {
+                (RequestOutcome::Done, 0) => violations.lost.push(write.id.clone()),
+                (RequestOutcome::NotRun, 1..) => {
+                    violations.applied_despite_refusal.push(write.id.clone())
+                }
                 _ => {}
             }
             if count > 1 {
-                violations.doubled.push(write.id.clone());
+                violations.duplicated.push(write.id.clone());
             }
         }
         violations
     }
 
-    /// Writes with this verdict.
-    pub fn count(&self, verdict: Verdict) -> usize {
-        self.writes.iter().filter(|it| it.verdict == verdict).count()
+    /// Writes with this outcome.
+    pub fn count(&self, outcome: RequestOutcome) -> usize {
+        self.writes.iter().filter(|it| it.outcome == outcome).count()
     }
 
     /// The longest time between two writes that landed, within a window.
     pub fn longest_gap(&self, from: Instant, to: Instant) -> Duration {
-        let done = self.writes.iter().filter(|it| it.verdict == Verdict::Done);
+        let done = self.writes.iter().filter(|it| it.outcome == RequestOutcome::Done);
         let mut landed: Vec<Instant> =
             done.map(|it| it.answered_at).filter(|it| (from..=to).contains(it)).collect();
         landed.push(from);
--- a/crates/gullspar_lab/src/lab.rs
+++ b/crates/gullspar_lab/src/lab.rs
@@ -159,7 +159,7 @@
         let started = self.start_instance(instance)?;
         self.addresses.instances.push(started.addresses.clone());
         self.instances.push(started);
-        self.list_instances();
+        self.publish_instances();
         Ok(())
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Brings the platform's list of instances up to date.
-    pub fn list_instances(&self) {
+    pub fn publish_instances(&self) {
         let running = self.instances.iter().filter(|it| it.is_running());
         let listed = running.map(|it| StoredInstance {
             id: it.addresses.id.to_string(),
@@ -213,7 +213,7 @@
     }
 
     /// Whether every group has a primary, by what the platform holds.
-    pub fn is_led(&self) -> bool {
+    pub fn has_all_primaries(&self) -> bool {
         self.settings.services.iter().all(|it| self.primary(it.group.as_str()).is_some())
     }
 
@@ -289,7 +289,7 @@
     for member in &service.members {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
-        network.place(address, &member.data_centre);
+        network.set_data_centre(address, &member.data_centre);
         addresses.targets.push(LabTarget {
             group: service.group.clone(),
             member: member.name.clone(),
--- a/crates/gullspar_lab/src/lab_instance.rs
+++ b/crates/gullspar_lab/src/lab_instance.rs
@@ -60,8 +60,8 @@
             peer: settings.peer_address,
             lane: settings.lane_address,
         };
-        network.place(addresses.peer, &addresses.data_centre);
-        network.place(addresses.lane, &addresses.data_centre);
+        network.set_data_centre(addresses.peer, &addresses.data_centre);
+        network.set_data_centre(addresses.lane, &addresses.data_centre);
         let (tx, thread) = spawn(settings.clone(), timing, Arc::clone(&network))?;
         Some(LabInstance { addresses, settings, timing, network, tx, thread: Some(thread) })
     }
@@ -77,7 +77,7 @@
     }
 
     /// Asks for a shutdown without waiting for its end.
-    pub fn ask_shut_down(&self) {
+    pub fn request_shutdown(&self) {
         // An instance that has ended needs no asking.
         let _ = self.tx.unbounded_send(Command::ShutDown);
     }
--- a/crates/gullspar_lab/src/lib.rs
+++ b/crates/gullspar_lab/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod platform;
 mod workload;
 
-pub use client::{Answer, Client, Verdict};
+pub use client::{Answer, Client, RequestOutcome};
 pub use control_server::{LabCommand, run_control};
 pub use faults::{FaultChange, Faults, TargetFault};
 pub use gullspar_instance::termination_signal;
--- a/crates/gullspar_lab/src/network.rs
+++ b/crates/gullspar_lab/src/network.rs
@@ -27,7 +27,7 @@
 
 /// The lab's network: loopback, with the delays and cuts of the place it stands for.
 pub struct Network {
-    places: Mutex<HashMap<SocketAddr, DataCentre>>,
+    data_centres: Mutex<HashMap<SocketAddr, DataCentre>>,
     one_way: Duration,
     /// Calls between instances.
     pub peers: Traffic,
@@ -40,7 +40,7 @@
     /// A network with `one_way` between data centres.
     pub fn new(one_way: Duration, faults: Arc<Faults>) -> Arc<Network> {
         Arc::new(Network {
-            places: Mutex::default(),
+            data_centres: Mutex::default(),
             one_way,
             peers: Traffic::default(),
             links: Traffic::default(),
@@ -49,15 +49,15 @@
     }
 
     /// Notes where an address is.
-    pub fn place(&self, address: SocketAddr, data_centre: &DataCentre) {
-        let mut places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        places.insert(address, data_centre.clone());
+    pub fn set_data_centre(&self, address: SocketAddr, data_centre: &DataCentre) {
+        let mut data_centres = self.data_centres.lock().unwrap_or_else(PoisonError::into_inner);
+        data_centres.insert(address, data_centre.clone());
     }
 
     /// Where an address is.
-    pub(crate) fn place_of(&self, address: SocketAddr) -> Option<DataCentre> {
-        let places = self.places.lock().unwrap_or_else(PoisonError::into_inner);
-        places.get(&address).cloned()
+    pub(crate) fn data_centre_of(&self, address: SocketAddr) -> Option<DataCentre> {
+        let data_centres = self.data_centres.lock().unwrap_or_else(PoisonError::into_inner);
+        data_centres.get(&address).cloned()
     }
 
     /// The time from one data centre to another and back.
--- a/crates/gullspar_lab/src/platform/server.rs
+++ b/crates/gullspar_lab/src/platform/server.rs
@@ -47,7 +47,7 @@
 }
 
 async fn get_object(State(state): State<PlatformState>, Path(key): Path<String>) -> Response {
-    if state.faults.platform_out() {
+    if state.faults.is_platform_out() {
         return out_of_service();
     }
     match state.store.get(&key) {
@@ -61,11 +61,11 @@
     Path(key): Path<String>,
     Json(body): Json<PutBody>,
 ) -> Response {
-    if state.faults.platform_out() {
+    if state.faults.is_platform_out() {
         return out_of_service();
     }
     let result = state.store.put(&key, body.expected, body.value);
-    if state.faults.loses_answer() {
+    if state.faults.consume_lost_answer() {
         return (StatusCode::GATEWAY_TIMEOUT, "the answer was lost").into_response();
     }
     match result {
@@ -79,7 +79,7 @@
         let deadline = std::time::Instant::now() + Duration::from_millis(query.wait_ms);
         loop {
             let changed = state.store.start_watch();
-            if state.faults.platform_out() {
+            if state.faults.is_platform_out() {
                 return out_of_service();
             }
             let list = state.store.changes(&query.prefix, query.revision);
@@ -94,7 +94,7 @@
 }
 
 async fn instances(State(state): State<PlatformState>) -> Response {
-    if state.faults.platform_out() {
+    if state.faults.is_platform_out() {
         return out_of_service();
     }
     Json(InstanceList { instances: state.store.instances() }).into_response()
--- a/crates/gullspar_lab/src/workload.rs
+++ b/crates/gullspar_lab/src/workload.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use crate::client::{Client, Verdict};
+use crate::client::{Client, RequestOutcome};
 use crate::history::{History, WriteRecord};
 
 /// Pause before a caller that was refused or disconnected tries again.
@@ -99,13 +99,13 @@
         };
         sequence += 1;
         let id = format!("{}w{number}-{sequence}", settings.prefix);
-        let verdict = write(&mut connected, &id, &settings, &mut history).await;
-        if verdict == Verdict::Done && settings.read_back {
+        let outcome = write(&mut connected, &id, &settings, &mut history).await;
+        if outcome == RequestOutcome::Done && settings.read_back {
             let token = connected.token.clone();
             turn += 1;
             read_back(&id, token, turn, &settings, &mut history).await;
         }
-        if verdict == Verdict::Done {
+        if outcome == RequestOutcome::Done {
             client = Some(connected);
         } else {
             turn += 1;
@@ -123,18 +123,18 @@
     id: &str,
     settings: &WorkloadSettings,
     history: &mut History,
-) -> Verdict {
+) -> RequestOutcome {
     let mark = if settings.keyed { format!("/* gullspar key={id} */ ") } else { String::new() };
     let sql = format!("{mark}INSERT INTO ledger VALUES ('{id}')");
-    let asked_at = Instant::now();
+    let sent_at = Instant::now();
     // A connection that breaks before the answer leaves its caller not knowing.
-    let verdict = match client.query(&sql).await {
-        Ok(answer) => answer.verdict(),
-        Err(_) => Verdict::Unknown,
+    let outcome = match client.query(&sql).await {
+        Ok(answer) => answer.outcome(),
+        Err(_) => RequestOutcome::Unknown,
     };
-    let record = WriteRecord { id: id.to_owned(), verdict, asked_at, answered_at: Instant::now() };
+    let record = WriteRecord { id: id.to_owned(), outcome, sent_at, answered_at: Instant::now() };
     history.writes.push(record);
-    verdict
+    outcome
 }
 
 async fn read_back(
@@ -152,7 +152,7 @@
     };
     let sql = format!("SELECT id FROM ledger WHERE id = '{id}'");
     let Ok(answer) = other.query(&sql).await else { return };
-    if answer.verdict() == Verdict::Done {
+    if answer.outcome() == RequestOutcome::Done {
         history.reads += 1;
         if answer.rows.is_empty() {
             history.stale.push(id.to_owned());
--- a/crates/gullspar_lab/tests/bad_input.rs
+++ b/crates/gullspar_lab/tests/bad_input.rs
@@ -5,7 +5,7 @@
 
 mod support;
 
-use gullspar_lab::{Client, Verdict};
+use gullspar_lab::{Client, RequestOutcome};
 use gullspar_wire::WireError;
 use support::{LabUnderTest, run};
 use test_case::test_case;
@@ -14,7 +14,7 @@
 async fn assert_undisturbed(lab: &LabUnderTest) {
     let mut bystander = lab.connect(0, "strict").await;
     let answer = bystander.query("SELECT id FROM doors").await.unwrap();
-    assert_eq!((answer.verdict(), answer.rows.len()), (Verdict::Done, 3));
+    assert_eq!((answer.outcome(), answer.rows.len()), (RequestOutcome::Done, 3));
 }
 
 #[test_case(&[b'Q', 0, 0, 0, 1]; "a length under four")]
@@ -89,7 +89,7 @@
         let answer = client.query(sql).await.unwrap();
         assert_eq!(answer.error.unwrap().code, code);
         let next = client.query("SELECT id FROM doors").await.unwrap();
-        assert_eq!(next.verdict(), Verdict::Done);
+        assert_eq!(next.outcome(), RequestOutcome::Done);
     });
 }
 
@@ -118,7 +118,7 @@
         lab.lab.faults.apply(gullspar_lab::FaultChange::Target { target, fault });
         compio::time::sleep(support::FAULT_SETTLES).await;
         let lost = client.query("INSERT INTO ledger VALUES ('y')").await.unwrap();
-        assert_eq!((lost.verdict(), lost.status), (Verdict::NotRun, b'E'));
+        assert_eq!((lost.outcome(), lost.status), (RequestOutcome::NotRun, b'E'));
         let next = client.query("INSERT INTO ledger VALUES ('z')").await.unwrap();
         assert_eq!((next.error.unwrap().code.as_str(), next.status), ("25P02", b'E'));
         let ended = client.query("COMMIT").await.unwrap();
--- a/crates/gullspar_lab/tests/failover.rs
+++ b/crates/gullspar_lab/tests/failover.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use gullspar_lab::{FaultChange, TargetFault, Verdict, Workload, WorkloadSettings};
+use gullspar_lab::{FaultChange, RequestOutcome, TargetFault, Workload, WorkloadSettings};
 use gullspar_model::DataCentre;
 use support::{LabUnderTest, assert_sound, run, writers};
 use test_case::test_case;
@@ -118,7 +118,7 @@
     let load = Workload::start(workload(&lab));
     std::thread::sleep(Duration::from_millis(1500));
     let history = load.stop();
-    assert_eq!(history.count(Verdict::Done), history.writes.len());
+    assert_eq!(history.count(RequestOutcome::Done), history.writes.len());
     let old = lab.primary();
     set(&lab, &old, TargetFault::Stopped);
     std::thread::sleep(Duration::from_millis(1500));
@@ -162,7 +162,7 @@
     std::thread::sleep(Duration::from_millis(800));
     let history = load.stop();
     assert_sound(&lab, &history);
-    assert_eq!(history.count(Verdict::Unknown), 0, "a key lets every outcome be known");
+    assert_eq!(history.count(RequestOutcome::Unknown), 0, "a key lets every outcome be known");
 }
 
 /// Symptom: nobody leads a group after the instance that was promoting died.
@@ -206,7 +206,7 @@
     assert_eq!(lab.statements(&old), before, "a member that has left gets no work");
     let history = load.stop();
     assert_sound(&lab, &history);
-    assert_eq!(history.count(Verdict::Unknown), 0);
+    assert_eq!(history.count(RequestOutcome::Unknown), 0);
 }
 
 fn place(lab: &LabUnderTest, target: &str) -> DataCentre {
@@ -255,20 +255,20 @@
         let mut strict = lab.connect(index, "strict").await;
         let read = "SELECT id FROM doors";
         for client in [&mut any, &mut tolerant, &mut strict] {
-            assert_eq!(client.query(read).await.unwrap().verdict(), Verdict::Done);
+            assert_eq!(client.query(read).await.unwrap().outcome(), RequestOutcome::Done);
         }
         lab.lab.faults.apply(FaultChange::Isolate { data_centre: data_centre.clone(), cut: true });
         compio::time::sleep(Duration::from_millis(700)).await;
-        assert_eq!(tolerant.query(read).await.unwrap().verdict(), Verdict::Done);
+        assert_eq!(tolerant.query(read).await.unwrap().outcome(), RequestOutcome::Done);
         let refused = strict.query("INSERT INTO ledger VALUES ('x')").await.unwrap();
-        assert_eq!(refused.verdict(), Verdict::NotRun);
+        assert_eq!(refused.outcome(), RequestOutcome::NotRun);
         // By now the data may be older than the two seconds that the tolerant class accepts.
         compio::time::sleep(Duration::from_millis(800)).await;
-        assert_eq!(tolerant.query(read).await.unwrap().verdict(), Verdict::NotRun);
-        assert_eq!(any.query(read).await.unwrap().verdict(), Verdict::Done);
+        assert_eq!(tolerant.query(read).await.unwrap().outcome(), RequestOutcome::NotRun);
+        assert_eq!(any.query(read).await.unwrap().outcome(), RequestOutcome::Done);
         lab.lab.faults.apply(FaultChange::Isolate { data_centre, cut: false });
         compio::time::sleep(Duration::from_millis(2500)).await;
-        assert_eq!(tolerant.query(read).await.unwrap().verdict(), Verdict::Done);
+        assert_eq!(tolerant.query(read).await.unwrap().outcome(), RequestOutcome::Done);
         assert!(lab.ledger().await.is_empty());
     });
 }
@@ -295,7 +295,7 @@
         let read = "SELECT id FROM doors";
         set(&lab, near, TargetFault::Slow(100));
         for _ in 0..10 {
-            assert_eq!(any.query(read).await.unwrap().verdict(), Verdict::Done);
+            assert_eq!(any.query(read).await.unwrap().outcome(), RequestOutcome::Done);
         }
         set(&lab, near, TargetFault::None);
         lab.lab.faults.apply(FaultChange::Isolate { data_centre: data_centre.clone(), cut: true });
@@ -304,7 +304,7 @@
         let asked = Instant::now();
         let answer = any.query(read).await.unwrap();
         let took = asked.elapsed();
-        assert_eq!(answer.verdict(), Verdict::Done, "{:?} after {took:?}", answer.error);
+        assert_eq!(answer.outcome(), RequestOutcome::Done, "{:?} after {took:?}", answer.error);
         assert!(took < Duration::from_millis(1000), "answered after {took:?}");
     });
 }
@@ -331,7 +331,7 @@
             let mut client = lab.connect(index, "tolerant").await;
             for _ in 0..20 {
                 let read = client.query("SELECT id FROM doors").await.unwrap();
-                assert_eq!(read.verdict(), Verdict::Done);
+                assert_eq!(read.outcome(), RequestOutcome::Done);
             }
         }
     });
@@ -350,14 +350,14 @@
     run(async {
         let mut tolerant = lab.connect(index.unwrap(), "tolerant").await;
         let read = "SELECT id FROM doors";
-        assert_eq!(tolerant.query(read).await.unwrap().verdict(), Verdict::Done);
+        assert_eq!(tolerant.query(read).await.unwrap().outcome(), RequestOutcome::Done);
         lab.lab.faults.apply(FaultChange::Isolate { data_centre: data_centre.clone(), cut: true });
         compio::time::sleep(Duration::from_millis(500)).await;
-        assert_eq!(tolerant.query(read).await.unwrap().verdict(), Verdict::Done);
+        assert_eq!(tolerant.query(read).await.unwrap().outcome(), RequestOutcome::Done);
         compio::time::sleep(Duration::from_millis(2000)).await;
-        assert_eq!(tolerant.query(read).await.unwrap().verdict(), Verdict::NotRun);
+        assert_eq!(tolerant.query(read).await.unwrap().outcome(), RequestOutcome::NotRun);
         lab.lab.faults.apply(FaultChange::Isolate { data_centre, cut: false });
         compio::time::sleep(Duration::from_millis(2500)).await;
-        assert_eq!(tolerant.query(read).await.unwrap().verdict(), Verdict::Done);
+        assert_eq!(tolerant.query(read).await.unwrap().outcome(), RequestOutcome::Done);
     });
 }
--- a/crates/gullspar_lab/tests/faults_together.rs
+++ b/crates/gullspar_lab/tests/faults_together.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use gullspar_lab::{FaultChange, TargetFault, Verdict, Workload, WorkloadSettings};
+use gullspar_lab::{FaultChange, RequestOutcome, TargetFault, Workload, WorkloadSettings};
 use support::{LabUnderTest, assert_sound, run, writers};
 use test_case::test_case;
 
@@ -60,7 +60,7 @@
         run(async {
             let mut client = lab.connect(0, "strict").await;
             let written = client.query("INSERT INTO ledger VALUES ('probe')").await;
-            written.is_ok_and(|it| it.verdict() == Verdict::Done)
+            written.is_ok_and(|it| it.outcome() == RequestOutcome::Done)
         })
     });
     std::thread::sleep(Duration::from_millis(500));
--- a/crates/gullspar_lab/tests/instances.rs
+++ b/crates/gullspar_lab/tests/instances.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use gullspar_instance::InstanceTiming;
-use gullspar_lab::{Verdict, Workload};
+use gullspar_lab::{RequestOutcome, Workload};
 use support::{LabUnderTest, assert_sound, run, writers};
 
 /// Symptom: a shutdown cuts off requests in flight.
@@ -26,7 +26,7 @@
     }
     let history = load.stop();
     assert_sound(&lab, &history);
-    assert_eq!(history.count(Verdict::Unknown), 0);
+    assert_eq!(history.count(RequestOutcome::Unknown), 0);
 }
 
 /// Symptom: half a transaction stays, or its locks do, after an instance dies in the middle of it.
@@ -42,7 +42,7 @@
         let mut other = lab.connect(0, "strict").await;
         let started = Instant::now();
         let written = other.query("INSERT INTO ledger VALUES ('whole')").await.unwrap();
-        assert_eq!(written.verdict(), Verdict::Done);
+        assert_eq!(written.outcome(), RequestOutcome::Done);
         assert!(started.elapsed() < Duration::from_secs(3));
         assert_eq!(lab.ledger().await, ["whole"]);
     });
@@ -88,7 +88,7 @@
             std::io::Write::write_all(&mut stream, &gullspar_wire::cancel_request(key)).unwrap();
         }
         let written = client.query("INSERT INTO ledger VALUES ('x')").await.unwrap();
-        assert_eq!(written.verdict(), Verdict::Done);
+        assert_eq!(written.outcome(), RequestOutcome::Done);
     });
 }
 
--- a/crates/gullspar_lab/tests/support/mod.rs
+++ b/crates/gullspar_lab/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use gullspar_instance::InstanceTiming;
-use gullspar_lab::{Client, History, Lab, LabSettings, Verdict, WorkloadSettings};
+use gullspar_lab::{Client, History, Lab, LabSettings, RequestOutcome, WorkloadSettings};
 
 /// How long anything in a test may take before the test is called failed.
 pub const PATIENCE: Duration = Duration::from_secs(20);
@@ -41,7 +41,7 @@
         let mut settings = LabSettings::parse("small.jsonc", text).unwrap();
         change(&mut settings);
         let lab = LabUnderTest { lab: Lab::start_with(settings, timing).unwrap() };
-        lab.wait_for("a primary with its replicas", || lab.lab.is_led());
+        lab.wait_for("a primary with its replicas", || lab.lab.has_all_primaries());
         lab
     }
 
@@ -133,7 +133,7 @@
 pub fn assert_sound(lab: &LabUnderTest, history: &History) {
     let violations = history.check(&run(lab.ledger()));
     assert!(violations.is_empty(), "{violations:?}");
-    assert!(history.count(Verdict::Done) > 20, "too little ran: {}", history.writes.len());
+    assert!(history.count(RequestOutcome::Done) > 20, "too little ran: {}", history.writes.len());
 }
 
 /// Runs a future on a runtime of its own.
--- a/crates/gullspar_lab/tests/whole_path.rs
+++ b/crates/gullspar_lab/tests/whole_path.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use gullspar_lab::{Client, Verdict};
+use gullspar_lab::{Client, RequestOutcome};
 use support::{LabUnderTest, run};
 
 #[test]
@@ -11,7 +11,7 @@
     run(async {
         let mut writer = lab.connect(0, "strict").await;
         let written = writer.query("INSERT INTO ledger VALUES ('x')").await.unwrap();
-        assert_eq!(written.verdict(), Verdict::Done);
+        assert_eq!(written.outcome(), RequestOutcome::Done);
         let mut reader = lab.connect(1, "strict").await;
         let read = reader.query("SELECT id FROM ledger").await.unwrap();
         assert_eq!(read.rows, vec![vec![Some("x".to_owned())]]);
@@ -47,7 +47,7 @@
         one.query("BEGIN").await.unwrap();
         one.query("INSERT INTO ledger VALUES ('y')").await.unwrap();
         let committed = one.query("COMMIT").await.unwrap();
-        assert_eq!((committed.verdict(), committed.status), (Verdict::Done, b'I'));
+        assert_eq!((committed.outcome(), committed.status), (RequestOutcome::Done, b'I'));
         let mut fresh = lab.connect(2, "strict").await;
         assert_eq!(fresh.query("SELECT id FROM ledger").await.unwrap().rows.len(), 1);
     });
@@ -83,14 +83,14 @@
     let lab = LabUnderTest::small();
     run(async {
         let sql = "/* gullspar key=t */ INSERT INTO ledger VALUES ('x')";
-        let mut verdicts = Vec::new();
+        let mut outcomes = Vec::new();
         for turn in 0..2 {
             let mut client = lab.connect(turn, "strict").await;
             client.query("BEGIN").await.unwrap();
-            verdicts.push(client.query(sql).await.unwrap().verdict());
+            outcomes.push(client.query(sql).await.unwrap().outcome());
             client.query("COMMIT").await.unwrap();
         }
-        assert_eq!(verdicts, [Verdict::Done, Verdict::Failed]);
+        assert_eq!(outcomes, [RequestOutcome::Done, RequestOutcome::Failed]);
         assert_eq!(lab.ledger().await, vec!["x".to_owned()]);
     });
 }
@@ -104,7 +104,7 @@
         assert_eq!(set.tags, ["SET"]);
         for _ in 0..5 {
             let read = client.query("SELECT id FROM ledger").await.unwrap();
-            assert_eq!(read.verdict(), Verdict::Done);
+            assert_eq!(read.outcome(), RequestOutcome::Done);
         }
     });
 }
@@ -125,7 +125,7 @@
             "SELECT id FROM ledger",
         ] {
             let answer = client.query(sql).await.unwrap();
-            assert_eq!(answer.verdict(), Verdict::Done, "{sql}: {answer:?}");
+            assert_eq!(answer.outcome(), RequestOutcome::Done, "{sql}: {answer:?}");
         }
     });
 }
--- a/crates/gullsparctl/src/lab_command.rs
+++ b/crates/gullsparctl/src/lab_command.rs
@@ -76,7 +76,7 @@
 async fn wait_until_led(lab: &Lab) {
     const LOOKS: u32 = 200;
     for _ in 0..LOOKS {
-        if lab.is_led() {
+        if lab.has_all_primaries() {
             return;
         }
         compio::time::sleep(Duration::from_millis(50)).await;
@@ -88,13 +88,13 @@
     match command {
         LabCommand::Fault(change) => lab.faults.apply(change),
         LabCommand::Kill(id) => with(lab, &id, gullspar_lab::LabInstance::kill),
-        LabCommand::ShutDown(id) => with(lab, &id, |it| it.ask_shut_down()),
+        LabCommand::ShutDown(id) => with(lab, &id, |it| it.request_shutdown()),
         LabCommand::Restart(id) => with(lab, &id, gullspar_lab::LabInstance::restart),
         LabCommand::Pause { instance, ms } => {
             with(lab, &instance, |it| it.pause(Duration::from_millis(ms)));
         }
     }
-    lab.list_instances();
+    lab.publish_instances();
 }
 
 fn with(
