--- a/crates/gullspar_lab/src/borders.rs
+++ b/crates/gullspar_lab/src/borders.rs
@@ -1,4 +1,4 @@
-//! The borders of a lab's instances: the real ones behind the lab's network.
+//! Wraps the borders of an instance so that its traffic passes the lab's network.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,51 +18,55 @@
 
 use crate::Network;
 
-/// How long a call to the platform waits for a cut link before it fails.
-const PLATFORM_ANSWERS_WITHIN: Duration = Duration::from_millis(500);
+/// How long a call to the platform waits for a cut link to be restored before it fails.
+const PLATFORM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Puts the lab's network between an instance in `data_centre` and everything else.
-pub(crate) fn behind_network(
+/// Adds the lab's delays and cuts to all traffic of an instance in `data_centre`.
+pub(crate) fn with_network(
     inner: Borders,
     data_centre: &DataCentre,
     network: &Arc<Network>,
 ) -> Borders {
-    let side = Side { own: data_centre.clone(), network: Arc::clone(network) };
+    let local_end = LocalEnd { data_centre: data_centre.clone(), network: Arc::clone(network) };
     let clock = Rc::clone(&inner.clock);
     Borders {
         dialer: Rc::new(LabDialer {
             inner: inner.dialer,
             clock: Rc::clone(&clock),
-            side: side.clone(),
+            local_end: local_end.clone(),
         }),
         peers: Rc::new(LabPeers {
             inner: inner.peers,
             clock: Rc::clone(&clock),
-            side: side.clone(),
+            local_end: local_end.clone(),
+        }),
+        platform: Rc::new(LabPlatform {
+            inner: inner.platform,
+            clock: Rc::clone(&clock),
+            local_end,
         }),
-        platform: Rc::new(LabPlatform { inner: inner.platform, clock: Rc::clone(&clock), side }),
         entropy: inner.entropy,
         clock,
     }
 }
 
-/// One side of the network.
+/// The instance's end of the lab's network.
 #[derive(Clone)]
-struct Side {
-    own: DataCentre,
+struct LocalEnd {
+    data_centre: DataCentre,
     network: Arc<Network>,
 }
 
-impl Side {
-    fn is_cut(&self, other: &DataCentre) -> bool {
-        self.network.faults.is_cut(&self.own, other)
+impl LocalEnd {
+    fn is_cut(&self, remote: &DataCentre) -> bool {
+        self.network.faults.is_cut(&self.data_centre, remote)
     }
 
-    /// Waits for as long as packets between here and `other` are lost.
-    async fn wait_joined(&self, other: &DataCentre) {
+    /// Waits while the link to `remote` is cut.
+    async fn wait_until_linked(&self, remote: &DataCentre) {
         loop {
             let changed = self.network.faults.listen();
-            if !self.is_cut(other) {
+            if !self.is_cut(remote) {
                 return;
             }
             changed.await;
@@ -73,7 +77,7 @@
 struct LabDialer {
     inner: Rc<dyn Dialer>,
     clock: Rc<dyn Clock>,
-    side: Side,
+    local_end: LocalEnd,
 }
 
 impl Dialer for LabDialer {
@@ -82,41 +86,45 @@
         address: SocketAddr,
         deadline: Instant,
     ) -> LocalBoxFuture<'static, io::Result<Box<dyn Link>>> {
-        let (inner, clock, side) =
-            (Rc::clone(&self.inner), Rc::clone(&self.clock), self.side.clone());
+        let (inner, clock, local_end) =
+            (Rc::clone(&self.inner), Rc::clone(&self.clock), self.local_end.clone());
         async move {
-            let other = side.network.data_centre_of(address).unwrap_or_else(|| side.own.clone());
-            if side.is_cut(&other) {
+            let remote = local_end
+                .network
+                .data_centre_of(address)
+                .unwrap_or_else(|| local_end.data_centre.clone());
+            if local_end.is_cut(&remote) {
                 clock.sleep_until(deadline).await;
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            let delay = side.network.round_trip(&side.own, &other);
+            let delay = local_end.network.round_trip(&local_end.data_centre, &remote);
             clock.sleep_until(clock.now() + delay).await;
             let link = inner.dial(address, deadline).await?;
-            let link: Box<dyn Link> = Box::new(LabLink { inner: link, clock, side, other, delay });
+            let link: Box<dyn Link> =
+                Box::new(LabLink { inner: link, clock, local_end, remote, delay });
             Ok(link)
         }
         .boxed_local()
     }
 }
 
-/// A link whose traffic is counted. Between data centres the whole round trip is waited for when
-/// sending.
+/// A link whose traffic is counted. Sending to another data centre is delayed by a whole round trip,
+/// receiving isn't.
 struct LabLink {
     inner: Box<dyn Link>,
     clock: Rc<dyn Clock>,
-    side: Side,
-    other: DataCentre,
+    local_end: LocalEnd,
+    remote: DataCentre,
     delay: Duration,
 }
 
 impl Link for LabLink {
     fn send(&mut self, buf: BytesMut) -> LocalBoxFuture<'_, io::Result<BytesMut>> {
         async move {
-            self.side.network.links.add(buf.len());
+            self.local_end.network.links.add(buf.len());
             if !self.delay.is_zero() {
                 self.clock.sleep_until(self.clock.now() + self.delay).await;
-                self.side.wait_joined(&self.other).await;
+                self.local_end.wait_until_linked(&self.remote).await;
             }
             self.inner.send(buf).await
         }
@@ -128,10 +136,10 @@
             let before = buf.len();
             let result = self.inner.recv(buf).await;
             if let Ok(buf) = &result {
-                self.side.network.links.add(buf.len() - before);
+                self.local_end.network.links.add(buf.len() - before);
             }
             if !self.delay.is_zero() {
-                self.side.wait_joined(&self.other).await;
+                self.local_end.wait_until_linked(&self.remote).await;
             }
             result
         }
@@ -147,17 +155,17 @@
     }
 }
 
-/// Bytes of a call or its answer, with what tarpc and the frame add.
+/// Size of a call or its answer in bytes, including the overhead of tarpc and the frame.
 fn wire_size(message: &impl serde::Serialize) -> usize {
-    /// Measured on tarpc 0.38 with postcard: frame length, request id, deadline and trace context.
-    const ENVELOPE: usize = 48;
-    postcard::to_allocvec(message).map_or(0, |it| it.len()) + ENVELOPE
+    /// Bytes of frame length, request id, deadline and trace context (tarpc 0.38 with postcard).
+    const ENVELOPE_BYTES: usize = 48;
+    postcard::to_allocvec(message).map_or(0, |it| it.len()) + ENVELOPE_BYTES
 }
 
 struct LabPeers {
     inner: Rc<dyn Peers>,
     clock: Rc<dyn Clock>,
-    side: Side,
+    local_end: LocalEnd,
 }
 
 impl Peers for LabPeers {
@@ -167,22 +175,25 @@
         req: PeerRequest,
         deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<PeerReply, PeerError>> {
-        let (inner, clock, side) =
-            (Rc::clone(&self.inner), Rc::clone(&self.clock), self.side.clone());
+        let (inner, clock, local_end) =
+            (Rc::clone(&self.inner), Rc::clone(&self.clock), self.local_end.clone());
         async move {
-            let other = side.network.data_centre_of(to).unwrap_or_else(|| side.own.clone());
-            if side.is_cut(&other) {
+            let remote = local_end
+                .network
+                .data_centre_of(to)
+                .unwrap_or_else(|| local_end.data_centre.clone());
+            if local_end.is_cut(&remote) {
                 clock.sleep_until(deadline).await;
                 return Err(PeerError::NoAnswer("the link is cut".to_owned()));
             }
-            let delay = side.network.round_trip(&side.own, &other);
+            let delay = local_end.network.round_trip(&local_end.data_centre, &remote);
             clock.sleep_until(clock.now() + delay).await;
-            side.network.peers.add(wire_size(&req));
+            local_end.network.peers.add(wire_size(&req));
             let result = inner.call(to, req, deadline).await;
             if let Ok(reply) = &result {
-                side.network.peers.add(wire_size(reply));
+                local_end.network.peers.add(wire_size(reply));
             }
-            if side.is_cut(&other) {
+            if local_end.is_cut(&remote) {
                 return Err(PeerError::NoAnswer("the link is cut".to_owned()));
             }
             result
@@ -194,18 +205,18 @@
 struct LabPlatform {
     inner: Rc<dyn Platform>,
     clock: Rc<dyn Clock>,
-    side: Side,
+    local_end: LocalEnd,
 }
 
 impl LabPlatform {
-    /// Holds a call up as a cut link does: it goes on if the link is joined in time, as TCP sends again
-    /// what was lost, and fails late and without a word otherwise.
-    async fn check(&self) -> Result<(), PlatformError> {
-        let Side { own, network } = &self.side;
-        let deadline = self.clock.now() + PLATFORM_ANSWERS_WITHIN;
+    /// Delays a call while the link to the platform is cut. The call continues if the link is restored
+    /// within `PLATFORM_TIMEOUT`, as TCP would retransmit, and fails without an answer otherwise.
+    async fn wait_until_linked(&self) -> Result<(), PlatformError> {
+        let LocalEnd { data_centre, network } = &self.local_end;
+        let deadline = self.clock.now() + PLATFORM_TIMEOUT;
         loop {
             let changed = network.faults.listen();
-            if !network.faults.is_platform_cut(own) {
+            if !network.faults.is_platform_cut(data_centre) {
                 return Ok(());
             }
             if within(&*self.clock, deadline, changed).await.is_err() {
@@ -221,7 +232,7 @@
         key: &'a str,
     ) -> LocalBoxFuture<'a, Result<Option<StoredObject>, PlatformError>> {
         async move {
-            self.check().await?;
+            self.wait_until_linked().await?;
             self.inner.get(key).await
         }
         .boxed_local()
@@ -234,7 +245,7 @@
         value: String,
     ) -> LocalBoxFuture<'a, Result<ObjectVersion, PlatformError>> {
         async move {
-            self.check().await?;
+            self.wait_until_linked().await?;
             self.inner.put(key, expected, value).await
         }
         .boxed_local()
@@ -247,9 +258,9 @@
         wait_ms: u64,
     ) -> LocalBoxFuture<'a, Result<WatchReply, PlatformError>> {
         async move {
-            self.check().await?;
+            self.wait_until_linked().await?;
             let reply = self.inner.watch(prefix, revision, wait_ms).await;
-            self.check().await?;
+            self.wait_until_linked().await?;
             reply
         }
         .boxed_local()
@@ -257,7 +268,7 @@
 
     fn instances(&self) -> LocalBoxFuture<'_, Result<Vec<PlatformInstance>, PlatformError>> {
         async move {
-            self.check().await?;
+            self.wait_until_linked().await?;
             self.inner.instances().await
         }
         .boxed_local()
--- a/crates/gullspar_lab/src/client.rs
+++ b/crates/gullspar_lab/src/client.rs
@@ -1,4 +1,4 @@
-//! A small caller for tests and benches: start-up, password, simple queries.
+//! A minimal PostgreSQL client for tests and benches: startup, SCRAM and simple queries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 const MECHANISM: &str = "SCRAM-SHA-256";
 
-/// What a statement brought.
+/// The results of a query: rows, command tags and error.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
     pub rows: Vec<QueryRow>,
@@ -28,14 +28,14 @@
     channel: Channel,
     /// The last session token that the instance reported.
     pub token: Option<String>,
-    /// What a cancel request must carry: process and secret.
+    /// The process and secret that a cancel request must carry.
     pub cancel_key: (i32, i32),
-    /// All settings that the instance reported.
+    /// All parameters that the instance reported.
     pub parameters: BTreeMap<String, String>,
 }
 
 impl Client {
-    /// Connects as `user`, whose password is its name, to `service` at `address`.
+    /// Connects to `service` at `address` as `user`, with the user name as the password.
     pub async fn connect(
         address: SocketAddr,
         user: &str,
@@ -45,7 +45,7 @@
         Client::connect_with(address, user, user, service, token).await
     }
 
-    /// Connects with a password.
+    /// Connects to `service` at `address` as `user` with `password`.
     pub async fn connect_with(
         address: SocketAddr,
         user: &str,
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Connects to a target itself, which asks for no password.
+    /// Connects directly to a target, which requires no password.
     pub async fn connect_to_target(address: SocketAddr) -> Result<Client, WireError> {
         let mut client = Client::dial(address).await?;
         client.channel.queue(&startup(&[("user", "bench"), ("database", "postgres")]));
@@ -90,11 +90,12 @@
         body.put_slice(first.as_bytes());
         self.send(caller::PASSWORD, &body).await?;
         let challenge = self.expect_authentication().await?;
-        let broken = |_| WireError::Malformed("SCRAM exchange".to_owned());
-        let (scram, last) = scram.handle_server_first(&challenge).map_err(broken)?.client_final();
+        let scram_failed = |_| WireError::Malformed("SCRAM exchange".to_owned());
+        let (scram, last) =
+            scram.handle_server_first(&challenge).map_err(scram_failed)?.client_final();
         self.send(caller::PASSWORD, last.as_bytes()).await?;
         let proof = self.expect_authentication().await?;
-        scram.handle_server_final(&proof).map_err(broken)
+        scram.handle_server_final(&proof).map_err(scram_failed)
     }
 
     async fn expect_authentication(&mut self) -> Result<String, WireError> {
@@ -111,13 +112,13 @@
         self.send_raw(Frame::new(kind, body).bytes()).await
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     pub async fn send_raw(&mut self, bytes: &[u8]) -> Result<(), WireError> {
         self.channel.queue(bytes);
         self.channel.flush().await
     }
 
-    /// Runs a script by the simple protocol.
+    /// Runs one or more statements by the simple query protocol.
     pub async fn query(&mut self, sql: &str) -> Result<Answer, WireError> {
         self.send_raw(query(sql).bytes()).await?;
         self.read_answer().await
@@ -129,7 +130,7 @@
         loop {
             let frame = match self.channel.next().await {
                 Ok(frame) => frame,
-                // An error that ends the connection comes without a ReadyForQuery.
+                // A fatal error is not followed by ReadyForQuery.
                 Err(WireError::Closed) if answer.error.is_some() => return Ok(answer),
                 Err(err) => return Err(err),
             };
@@ -137,7 +138,7 @@
                 target::DATA_ROW => answer.rows.push(row_values(&frame)?),
                 target::COMMAND_COMPLETE => answer.tags.push(frame.first_text()?.to_owned()),
                 target::ERROR => answer.error = Some(ErrorReport::decode(&frame)),
-                target::PARAMETER_STATUS => self.note_parameter(&frame),
+                target::PARAMETER_STATUS => self.record_parameter(&frame),
                 target::BACKEND_KEY => {
                     if let Some(key) = frame.body().first_chunk::<8>() {
                         let part = |at: usize| {
@@ -155,7 +156,7 @@
         }
     }
 
-    fn note_parameter(&mut self, frame: &Frame) {
+    fn record_parameter(&mut self, frame: &Frame) {
         let mut parts = frame.body().split(|it| *it == 0);
         let mut text = || parts.next().map(|it| String::from_utf8_lossy(it).into_owned());
         let (Some(name), Some(value)) = (text(), text()) else { return };
@@ -167,7 +168,7 @@
 }
 
 impl Answer {
-    /// What the caller was told: it ran, it did not run, or nobody knows.
+    /// The outcome of the request according to the SQLSTATE and the hint of its error.
     pub fn outcome(&self) -> RequestOutcome {
         match &self.error {
             None => RequestOutcome::Done,
@@ -182,12 +183,15 @@
     }
 }
 
-/// What a caller was told of a request.
+/// The outcome of a request as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
+    /// The request was carried out.
     Done,
+    /// The request was not carried out and can be retried.
     NotRun,
+    /// The request may or may not have been carried out.
     Unknown,
-    /// The target ran it and refused, as for a duplicate key.
+    /// The target returned an error, for example for a duplicate key.
     Failed,
 }
--- a/crates/gullspar_lab/src/control_server.rs
+++ b/crates/gullspar_lab/src/control_server.rs
@@ -1,4 +1,4 @@
-//! Where a running lab takes faults.
+//! The HTTP server by which a running lab receives commands.
 
 use std::io;
 
@@ -13,31 +13,32 @@
 use crate::FaultChange;
 
 record! {
-    /// Something to do to a running lab.
+    /// A command to a running lab.
     #[serde(rename_all = "snake_case")]
     pub enum LabCommand {
+        /// Changes the injected faults.
         Fault(FaultChange),
-        /// Ends an instance at once.
+        /// Kills an instance.
         Kill(InstanceId),
-        /// Shuts an instance down in good order.
+        /// Shuts an instance down gracefully.
         ShutDown(InstanceId),
-        /// Starts an instance again.
+        /// Restarts an instance.
         Restart(InstanceId),
-        /// Lets an instance stand still for so many milliseconds.
+        /// Pauses an instance for `ms` milliseconds.
         Pause { instance: InstanceId, ms: u64 },
     }
 }
 
-/// Takes commands on `listener` and passes them to `tx`.
+/// Accepts commands on `listener` and forwards them to `tx`.
 pub async fn run_control(
     listener: TcpListener,
     tx: mpsc::UnboundedSender<LabCommand>,
 ) -> io::Result<()> {
-    let router = axum::Router::new().route("/v1/command", post(take)).with_state(tx);
+    let router = axum::Router::new().route("/v1/command", post(handle_command)).with_state(tx);
     cyper_axum::serve(listener, router).await
 }
 
-async fn take(
+async fn handle_command(
     State(tx): State<mpsc::UnboundedSender<LabCommand>>,
     Json(command): Json<LabCommand>,
 ) -> Response {
--- a/crates/gullspar_lab/src/faults.rs
+++ b/crates/gullspar_lab/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that can be set while the stand-ins run.
+//! Faults that can be injected while a lab runs.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,15 +11,15 @@
 use gullspar_model::{DataCentre, record};
 
 record! {
-    /// What is wrong with a target.
+    /// The fault of a target.
     #[derive(Copy)]
     #[serde(rename_all = "snake_case")]
     pub enum TargetFault {
-        /// Nothing.
+        /// The target works.
         None,
-        /// Connections are dropped and none is accepted; the data stays.
+        /// Open connections are dropped and new ones are closed at once; the data is kept.
         Stopped,
-        /// Connections are accepted and nothing is answered.
+        /// Connections are accepted, but no request is answered.
         Hung,
         /// Each statement takes this many milliseconds longer.
         Slow(u64),
@@ -30,17 +30,17 @@
     /// A change to the faults, as `gullsparctl lab fault` sends it.
     #[serde(rename_all = "snake_case")]
     pub enum FaultChange {
-        /// Sets the fault of a member, named `group/member`.
+        /// Sets the fault of a member; `target` is `group/member`.
         Target { target: String, fault: TargetFault },
-        /// Cuts two data centres off from each other, or joins them again.
+        /// Cuts the link between two data centres, or restores it.
         Cut { between: DataCentre, and: DataCentre, cut: bool },
-        /// Cuts a data centre off from all others and from the platform, or joins it again.
+        /// Cuts the links from a data centre to all others and to the platform, or restores them.
         Isolate { data_centre: DataCentre, cut: bool },
-        /// Takes the platform out, or back.
+        /// Makes the platform unavailable, or available again.
         PlatformOut { out: bool },
-        /// Lets this many updates take effect without an answer.
+        /// Carries out the next `count` updates, but loses their answers.
         PlatformLosesAnswers { count: u32 },
-        /// Sets how far replicas stay behind, in milliseconds.
+        /// Sets the replication lag of all groups, in milliseconds.
         ReplicationLag { lag_ms: u64 },
     }
 }
@@ -55,10 +55,10 @@
     lag_ms: Option<u64>,
 }
 
-/// How often a thread looks for changes.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// How often a thread checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A thread's own event for the changes of a lab's faults.
+/// The event by which one thread learns of changes to a lab's faults.
 struct LocalChanges {
     faults: Arc<Faults>,
     changed: Rc<Event>,
@@ -69,8 +69,8 @@
 }
 
 /// Notifies a thread's event of every change, for as long as the thread's runtime lives.
-async fn pass_on(faults: Arc<Faults>, changed: Rc<Event>) {
-    // From the very start, since the change may lie between the listener and this task's first turn.
+async fn notify_changes(faults: Arc<Faults>, changed: Rc<Event>) {
+    // Notifies at the first turn too: a change may have come before this task started.
     let mut seen = u64::MAX;
     loop {
         let version = faults.version.load(Ordering::Acquire);
@@ -78,11 +78,11 @@
             seen = version;
             changed.notify(usize::MAX);
         }
-        compio::time::sleep(LOOK_EVERY).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The faults in force, shared by all stand-ins of a lab.
+/// The current faults, shared by all servers and instances of a lab.
 #[derive(Default)]
 pub struct Faults {
     state: Mutex<FaultState>,
@@ -124,11 +124,12 @@
         self.version.fetch_add(1, Ordering::Release);
     }
 
-    /// Notified soon after each change; take it before reading, so that no change is missed.
+    /// A listener that is notified soon after each change. Create it before reading the faults, so that
+    /// no change is missed.
     ///
-    /// Each thread has an event of its own, which a task of that thread notifies. With one event for all
-    /// threads the lab stood still: whoever set a fault held the event's lock and waited for room in the
-    /// queue of a thread that waited for the lock.
+    /// Each thread has its own event, which a task of that thread notifies. A single event for all threads
+    /// could deadlock: the thread that notifies holds the event's lock while it waits for space in the
+    /// task queue of a thread that waits for that lock.
     pub fn listen(self: &Arc<Self>) -> EventListener {
         LOCAL_CHANGES.with(|it| {
             let mut local = it.borrow_mut();
@@ -138,18 +139,18 @@
             }
             let changed = Rc::new(Event::new());
             let listener = changed.listen();
-            compio::runtime::spawn(pass_on(Arc::clone(self), Rc::clone(&changed))).detach();
+            compio::runtime::spawn(notify_changes(Arc::clone(self), Rc::clone(&changed))).detach();
             local.push(LocalChanges { faults: Arc::clone(self), changed });
             listener
         })
     }
 
-    /// The fault of a member, named `group/member`.
+    /// The fault of a member; `target` is `group/member`.
     pub fn target(&self, target: &str) -> TargetFault {
         self.lock().targets.get(target).copied().unwrap_or(TargetFault::None)
     }
 
-    /// Whether messages between two data centres are lost.
+    /// Whether the link between two data centres is cut.
     pub fn is_cut(&self, one: &DataCentre, other: &DataCentre) -> bool {
         if one == other {
             return false;
@@ -160,17 +161,17 @@
             || state.isolated.contains(other)
     }
 
-    /// Whether the platform can't be reached from `from`.
+    /// Whether the link from the data centre `from` to the platform is cut.
     pub fn is_platform_cut(&self, from: &DataCentre) -> bool {
         self.lock().isolated.contains(from)
     }
 
-    /// Whether the platform refuses everything.
+    /// Whether the platform refuses all requests.
     pub fn is_platform_out(&self) -> bool {
         self.lock().platform_out
     }
 
-    /// Whether the answer to the update just carried out is lost.
+    /// Whether the answer to the current update is lost; uses up one of the answers to be lost.
     pub fn consume_lost_answer(&self) -> bool {
         let mut state = self.lock();
         let lose = state.lose_answers > 0;
@@ -178,7 +179,7 @@
         lose
     }
 
-    /// Replication lag in milliseconds, where one was set.
+    /// Replication lag in milliseconds, if a fault sets one.
     pub fn lag_ms(&self) -> Option<u64> {
         self.lock().lag_ms
     }
--- a/crates/gullspar_lab/src/history.rs
+++ b/crates/gullspar_lab/src/history.rs
@@ -1,11 +1,11 @@
-//! What callers were told, and whether it was true.
+//! Records the outcomes that callers received and checks them against the stored data.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::client::RequestOutcome;
 
-/// One write and what its caller was told.
+/// One write and the outcome that its caller received.
 #[derive(Clone, Debug)]
 pub struct WriteRecord {
     pub id: String,
@@ -14,43 +14,44 @@
     pub answered_at: Instant,
 }
 
-/// All writes of a run, and the reads that broke a promise.
+/// All writes of a run, and its stale reads.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     pub writes: Vec<WriteRecord>,
-    /// Reads that missed a write that the same caller had been told was done.
+    /// Ids of acknowledged writes that a later read of the same caller missed.
     pub stale: Vec<String>,
     pub reads: u64,
 }
 
-/// Promises that a run broke; all empty in a sound one.
+/// Ids of writes that violate a guarantee; all lists are empty in a correct run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Violations {
-    /// Told done, but not there.
+    /// Acknowledged, but not stored.
     pub lost: Vec<String>,
-    /// There more than once.
+    /// Stored more than once.
     pub duplicated: Vec<String>,
-    /// Told not run, but there.
+    /// Reported as not run, but stored.
     pub applied_despite_refusal: Vec<String>,
+    /// Acknowledged, but missed by a later read of the same caller.
     pub stale: Vec<String>,
 }
 
 impl Violations {
-    /// Whether every promise was kept.
+    /// Whether no guarantee was violated.
     pub fn is_empty(&self) -> bool {
         *self == Violations::default()
     }
 }
 
 impl History {
-    /// Takes another caller's history in.
+    /// Adds another caller's history.
     pub fn merge(&mut self, other: History) {
         self.writes.extend(other.writes);
         self.stale.extend(other.stale);
         self.reads += other.reads;
     }
 
-    /// Compares what callers were told with the ids found in the target at the end.
+    /// Compares the recorded outcomes with the ids that are stored in the target at the end.
     pub fn check(&self, found: &[String]) -> Violations {
         let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
         for id in found {
@@ -73,19 +74,19 @@
         violations
     }
 
-    /// Writes with this outcome.
+    /// The number of writes with this outcome.
     pub fn count(&self, outcome: RequestOutcome) -> usize {
         self.writes.iter().filter(|it| it.outcome == outcome).count()
     }
 
-    /// The longest time between two writes that landed, within a window.
+    /// The longest time between two acknowledged writes within `from..=to`, counting both ends as writes.
     pub fn longest_gap(&self, from: Instant, to: Instant) -> Duration {
         let done = self.writes.iter().filter(|it| it.outcome == RequestOutcome::Done);
-        let mut landed: Vec<Instant> =
+        let mut acknowledged_at: Vec<Instant> =
             done.map(|it| it.answered_at).filter(|it| (from..=to).contains(it)).collect();
-        landed.push(from);
-        landed.push(to);
-        landed.sort();
-        landed.windows(2).map(|it| it[1] - it[0]).max().unwrap_or_default()
+        acknowledged_at.push(from);
+        acknowledged_at.push(to);
+        acknowledged_at.sort();
+        acknowledged_at.windows(2).map(|it| it[1] - it[0]).max().unwrap_or_default()
     }
 }
--- a/crates/gullspar_lab/src/lab.rs
+++ b/crates/gullspar_lab/src/lab.rs
@@ -1,4 +1,4 @@
-//! A platform, database groups and instances in one process.
+//! Runs a simulated platform, simulated database groups and instances in one process.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -27,7 +27,7 @@
     /// Why a lab could not start.
     #[derive(Debug)]
     pub enum LabError {
-        /// No address or thread to be had.
+        /// An address could not be bound, or an instance or simulated server could not start.
         Io(err: io::Error) {
             from()
             source(err)
@@ -37,7 +37,7 @@
 }
 
 record! {
-    /// Where a stand-in target listens.
+    /// The address of a simulated target.
     pub struct LabTarget {
         pub group: GroupName,
         pub member: MemberName,
@@ -47,24 +47,24 @@
 }
 
 record! {
-    /// Where everything of a lab listens.
+    /// The addresses of all servers of a lab.
     pub struct LabAddresses {
         pub platform: SocketAddr,
-        /// Where faults are set; `None` for a lab within a test.
+        /// The server that accepts lab commands; `None` for a lab within a test.
         pub control: Option<SocketAddr>,
         pub instances: Vec<InstanceAddresses>,
         pub targets: Vec<LabTarget>,
     }
 }
 
-/// A thread that runs a stand-in until it is told to end.
-struct StandIn {
+/// A thread that runs a simulated server until this value is dropped.
+struct ServerThread {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl StandIn {
-    fn start<F>(make: impl FnOnce() -> F + Send + 'static) -> StandIn
+impl ServerThread {
+    fn start<F>(make_server: impl FnOnce() -> F + Send + 'static) -> ServerThread
     where
         F: Future<Output = io::Result<()>>,
     {
@@ -72,25 +72,29 @@
         let thread = std::thread::spawn(move || {
             let runtime = match compio::runtime::Runtime::new() {
                 Ok(runtime) => runtime,
-                Err(err) => return log::error!("L0103 a stand-in has no runtime: {err}"),
+                Err(err) => {
+                    return log::error!(
+                        "L0103 could not create the runtime of a simulated server: {err}"
+                    );
+                }
             };
             runtime.block_on(async {
-                let serve = make();
+                let serve = make_server();
                 futures::pin_mut!(serve);
                 if let future::Either::Left((Err(err), _)) = future::select(serve, rx).await {
-                    log::error!("L0103 a stand-in ended: {err}");
+                    log::error!("L0103 a simulated server failed: {err}");
                 }
             });
         });
-        StandIn { stop: Some(tx), thread: Some(thread) }
+        ServerThread { stop: Some(tx), thread: Some(thread) }
     }
 }
 
-impl Drop for StandIn {
+impl Drop for ServerThread {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            // A panicked stand-in has been reported by its own message.
+            // The panic hook has already reported a panic of the thread.
             let _ = thread.join();
         }
     }
@@ -100,18 +104,18 @@
 pub struct Lab {
     pub faults: Arc<Faults>,
     pub store: Arc<PlatformStore>,
-    /// What each target counted, by `group/member`.
+    /// The counters of each target, by `group/member`.
     pub counts: BTreeMap<String, Arc<MemberCounts>>,
     pub instances: Vec<LabInstance>,
     pub addresses: LabAddresses,
     pub network: Arc<Network>,
     settings: LabSettings,
     timing: InstanceTiming,
-    _stand_ins: Vec<StandIn>,
+    _server_threads: Vec<ServerThread>,
 }
 
 impl Lab {
-    /// Starts everything that `settings` describe, at the default pace.
+    /// Starts everything that `settings` describe, with the default timing.
     pub fn start(settings: LabSettings) -> Result<Lab, LabError> {
         Lab::start_with(settings, InstanceTiming::default())
     }
@@ -129,13 +133,13 @@
             instances: Vec::new(),
             targets: Vec::new(),
         };
-        let mut stand_ins = vec![start_platform(platform, &store, &faults)];
+        let mut server_threads = vec![start_platform(platform, &store, &faults)];
         let mut counts = BTreeMap::new();
         for service in &settings.services {
             let started =
                 start_group(&settings, service, &network, &faults, &mut counts, &mut addresses)?;
-            stand_ins.push(started);
-            seed_service(service, &addresses, &store)?;
+            server_threads.push(started);
+            write_service(service, &addresses, &store)?;
         }
         let mut lab = Lab {
             faults,
@@ -145,7 +149,7 @@
             addresses,
             network,
             timing,
-            _stand_ins: stand_ins,
+            _server_threads: server_threads,
             settings,
         };
         for instance in lab.settings.instances.clone() {
@@ -163,11 +167,11 @@
         Ok(())
     }
 
-    /// Starts an instance on addresses that are free; another process may take one between the look
-    /// and the use, so a few are tried.
+    /// Starts an instance on free addresses. Another process may bind an address before the instance
+    /// does, so the start is repeated with new addresses.
     fn start_instance(&self, instance: &LabInstanceSettings) -> Result<LabInstance, LabError> {
-        const TRIES: u32 = 8;
-        for _ in 0..TRIES {
+        const MAX_ATTEMPTS: u32 = 8;
+        for _ in 0..MAX_ATTEMPTS {
             let settings = self.instance_settings(instance)?;
             let network = Arc::clone(&self.network);
             if let Some(started) = LabInstance::start(settings, self.timing, network) {
@@ -177,7 +181,7 @@
         Err(LabError::Io(io::Error::other(format!("instance {} could not start", instance.id))))
     }
 
-    /// Brings the platform's list of instances up to date.
+    /// Updates the platform's list of instances to those that run.
     pub fn publish_instances(&self) {
         let running = self.instances.iter().filter(|it| it.is_running());
         let listed = running.map(|it| StoredInstance {
@@ -212,12 +216,12 @@
         })
     }
 
-    /// Whether every group has a primary, by what the platform holds.
+    /// Whether every group has a primary according to the platform.
     pub fn has_all_primaries(&self) -> bool {
         self.settings.services.iter().all(|it| self.primary(it.group.as_str()).is_some())
     }
 
-    /// The primary of a group, by what the platform holds.
+    /// The primary of a group according to the platform.
     pub fn primary(&self, group: &str) -> Option<MemberName> {
         let stored = self.store.get(&format!("{}{group}", GroupObject::PREFIX))?;
         serde_json::from_value::<GroupObject>(stored.value).ok()?.primary
@@ -228,14 +232,14 @@
         &self.settings.services
     }
 
-    /// The term that a group is led in, by what the platform holds.
+    /// The current term of a group according to the platform; 0 if the group is unknown.
     pub fn term(&self, group: &str) -> u64 {
         let stored = self.store.get(&format!("{}{group}", GroupObject::PREFIX));
         let object = stored.and_then(|it| serde_json::from_value::<GroupObject>(it.value).ok());
         object.map_or(0, |it| it.term.0)
     }
 
-    /// The ids in a group's ledger, read from its primary itself.
+    /// The ids in a group's `ledger` table, read directly from its primary.
     pub fn ledger(&self, group: &str) -> Vec<String> {
         let Some(primary) = self.primary(group) else { return Vec::new() };
         let Some(target) = self.targets(group).find(|it| it.member == primary) else {
@@ -259,7 +263,7 @@
     }
 }
 
-/// An address that nobody listens on at this moment.
+/// A loopback address with a port that is free at this moment.
 fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()
 }
@@ -268,9 +272,9 @@
     listener: TcpListener,
     store: &Arc<PlatformStore>,
     faults: &Arc<Faults>,
-) -> StandIn {
+) -> ServerThread {
     let (store, faults) = (Arc::clone(store), Arc::clone(faults));
-    StandIn::start(move || async move {
+    ServerThread::start(move || async move {
         let listener = compio::net::TcpListener::from_std(listener)?;
         run_platform(listener, store, faults).await
     })
@@ -283,9 +287,9 @@
     faults: &Arc<Faults>,
     counts: &mut BTreeMap<String, Arc<MemberCounts>>,
     addresses: &mut LabAddresses,
-) -> Result<StandIn, LabError> {
+) -> Result<ServerThread, LabError> {
     let mut listeners = Vec::new();
-    let mut own_counts = Vec::new();
+    let mut group_counts = Vec::new();
     for member in &service.members {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -298,7 +302,7 @@
         });
         let count = Arc::new(MemberCounts::default());
         counts.insert(format!("{}/{}", service.group, member.name), Arc::clone(&count));
-        own_counts.push(count);
+        group_counts.push(count);
         listeners.push(listener);
     }
     let members = service.members.iter().map(|it| MemberSettings {
@@ -317,11 +321,11 @@
         schema: settings.full_schema(),
     };
     let faults = Arc::clone(faults);
-    Ok(StandIn::start(move || run_group(group, listeners, faults, own_counts)))
+    Ok(ServerThread::start(move || run_group(group, listeners, faults, group_counts)))
 }
 
-/// Writes the service's configuration to the platform, as if operators had done so before.
-fn seed_service(
+/// Writes the service's initial configuration to the platform.
+fn write_service(
     service: &LabService,
     addresses: &LabAddresses,
     store: &PlatformStore,
@@ -347,7 +351,7 @@
     };
     let value = serde_json::to_value(&object).map_err(io::Error::other)?;
     let key = format!("{}{}", ServiceObject::PREFIX, service.service);
-    // The store is new, so nothing stands in the way.
+    // The store is new, so the conditional write can't conflict.
     let _ = store.put(&key, 0, value);
     Ok(())
 }
--- a/crates/gullspar_lab/src/lab_instance.rs
+++ b/crates/gullspar_lab/src/lab_instance.rs
@@ -1,4 +1,4 @@
-//! An instance on a thread of its own.
+//! Runs an instance on its own thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::{Network, borders};
 
 record! {
-    /// Where an instance of the lab listens.
+    /// The addresses that an instance of the lab listens on.
     pub struct InstanceAddresses {
         pub id: InstanceId,
         pub data_centre: DataCentre,
@@ -27,11 +27,11 @@
 }
 
 enum Command {
-    /// Shut down in good order.
+    /// Shut down gracefully.
     ShutDown,
-    /// End at once, with all connections.
+    /// Stop at once and drop all connections.
     Kill,
-    /// Stand still for a while, like a paused virtual machine.
+    /// Block the thread, as if the virtual machine were paused.
     Pause(Duration),
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl LabInstance {
-    /// Starts an instance and waits until it listens; `None` if it could not start.
+    /// Starts an instance and waits until it listens; `None` if it failed to start.
     pub(crate) fn start(
         settings: InstanceSettings,
         timing: InstanceTiming,
@@ -66,29 +66,29 @@
         Some(LabInstance { addresses, settings, timing, network, tx, thread: Some(thread) })
     }
 
-    /// Ends the instance at once and cuts all its connections.
+    /// Stops the instance at once and drops all its connections.
     pub fn kill(&mut self) {
         self.end(Command::Kill);
     }
 
-    /// Shuts the instance down in good order and waits for its end.
+    /// Shuts the instance down gracefully and waits until it has ended.
     pub fn shut_down(&mut self) {
         self.end(Command::ShutDown);
     }
 
-    /// Asks for a shutdown without waiting for its end.
+    /// Requests a graceful shutdown without waiting for it.
     pub fn request_shutdown(&self) {
-        // An instance that has ended needs no asking.
+        // Fails only if the instance has already ended.
         let _ = self.tx.unbounded_send(Command::ShutDown);
     }
 
-    /// Lets the instance stand still for `time`; returns at once.
+    /// Pauses the instance for `time`; returns at once.
     pub fn pause(&self, time: Duration) {
-        // An instance that has ended stands still already.
+        // Fails only if the instance has already ended.
         let _ = self.tx.unbounded_send(Command::Pause(time));
     }
 
-    /// Starts the instance again on the same addresses.
+    /// Kills the instance and starts it again on the same addresses.
     pub fn restart(&mut self) {
         self.kill();
         let spawned = spawn(self.settings.clone(), self.timing, Arc::clone(&self.network));
@@ -98,13 +98,13 @@
         }
     }
 
-    /// Whether the instance runs.
+    /// Whether the instance was started and not stopped since.
     pub fn is_running(&self) -> bool {
         self.thread.is_some()
     }
 
     fn end(&mut self, command: Command) {
-        // An instance that has ended can't be told, and needn't be.
+        // Fails only if the instance has already ended.
         let _ = self.tx.unbounded_send(command);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -131,14 +131,17 @@
         let runtime = match compio::runtime::Runtime::new() {
             Ok(runtime) => runtime,
             Err(err) => {
-                log::error!("L0101 instance {} has no runtime: {err}", settings.id);
+                log::error!(
+                    "L0101 could not create the runtime of instance {}: {err}",
+                    settings.id
+                );
                 return;
             }
         };
         runtime.block_on(run(settings, timing, network, rx, ready_tx));
     });
     let thread = spawned.ok()?;
-    // A closed channel means that the instance failed to start; its log tells why.
+    // A closed channel means that the instance failed to start and has logged the error.
     ready_rx.recv().ok()?;
     Some((tx, thread))
 }
@@ -151,7 +154,7 @@
     ready: std::sync::mpsc::Sender<()>,
 ) {
     let borders = system_borders(&settings);
-    let borders = borders::behind_network(borders, &settings.data_centre, &network);
+    let borders = borders::with_network(borders, &settings.data_centre, &network);
     let epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let incarnation = epoch.map_or(1, |it| it.as_millis() as u64);
     let id = settings.id.clone();
@@ -162,12 +165,12 @@
             return;
         }
     };
-    // Whoever waits may have given up; the instance runs all the same.
+    // The instance runs even if the receiver is gone.
     let _ = ready.send(());
     let (shutdown_tx, shutdown_rx) = oneshot::channel::<()>();
     let mut shutdown_tx = Some(shutdown_tx);
     let running = instance.run(async move {
-        // A sender dropped without a word is a kill, which ends this future anyway.
+        // Shutdown is requested by dropping the sender, so this is always an error.
         let _ = shutdown_rx.await;
     });
     futures::pin_mut!(running);
--- a/crates/gullspar_lab/src/lab_settings.rs
+++ b/crates/gullspar_lab/src/lab_settings.rs
@@ -1,4 +1,4 @@
-//! What a lab consists of, read from a file of JSON with comments.
+//! The settings of a lab, read from a file of JSON with comments.
 
 use std::collections::BTreeMap;
 use std::num::NonZeroU32;
@@ -18,7 +18,7 @@
 }
 
 record! {
-    /// A member of a stand-in group.
+    /// A member of a simulated group.
     #[serde(deny_unknown_fields)]
     pub struct LabMember {
         pub name: MemberName,
@@ -27,7 +27,7 @@
 }
 
 record! {
-    /// An account, its class and its password.
+    /// A caller's class and password.
     #[serde(deny_unknown_fields)]
     pub struct LabCaller {
         pub class: String,
@@ -36,7 +36,7 @@
 }
 
 record! {
-    /// A service and the stand-in group behind it.
+    /// A service and the simulated group that serves it.
     #[serde(deny_unknown_fields)]
     pub struct LabService {
         pub service: ServiceName,
@@ -49,20 +49,20 @@
     }
 }
 
-/// A whole lab.
+/// The settings of a whole lab.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LabSettings {
-    /// Microseconds one way between two data centres.
+    /// One-way delay between two data centres, in microseconds.
     pub one_way_us: u64,
-    /// Milliseconds that replicas stay behind.
+    /// Replication lag in milliseconds.
     pub lag_ms: u64,
-    /// Milliseconds that a promotion takes.
+    /// Duration of a promotion in milliseconds.
     pub promotion_ms: u64,
-    /// Milliseconds that a new connection to a target costs.
+    /// Time to set up a connection to a target, in milliseconds.
     pub connection_cost_ms: u64,
-    /// Microseconds that a statement holds a slot.
+    /// Time for which a statement occupies a slot, in microseconds.
     pub statement_us: u64,
-    /// Statements that make the schema of every group.
+    /// Statements that create the schema of every group.
     pub schema: Vec<String>,
     pub instances: Vec<LabInstanceSettings>,
     pub services: Vec<LabService>,
@@ -80,7 +80,7 @@
         "services",
     ];
 
-    /// Reads `text`, which stands in the file `file`.
+    /// Parses `text`, the content of the file `file`; errors name that file.
     pub fn parse(file: &str, text: &str) -> Result<LabSettings, Findings> {
         let mut file = JsoncFile::parse(file, text)?;
         let one_way_us = file.required("one_way_us");
@@ -106,7 +106,7 @@
         file.finish(&LabSettings::OPTIONS, settings)
     }
 
-    /// The schema with the table that requests with a key need.
+    /// The schema, extended by the table that stores the outcomes of requests with a key.
     pub(crate) fn full_schema(&self) -> String {
         let requests = "CREATE TABLE IF NOT EXISTS gullspar_requests (\
              request_key TEXT PRIMARY KEY, fingerprint TEXT NOT NULL, answer TEXT)";
@@ -116,9 +116,9 @@
     }
 }
 
-/// Salts a password for a caller's entry in the configuration.
+/// The SCRAM verifier of a password, as a caller's entry in the configuration holds it.
 pub fn verifier(password: &str, caller: &CallerName) -> String {
-    /// Rounds of hashing; few, so that labs start fast.
+    /// Low, so that labs start fast.
     const ITERATIONS: u16 = 4096;
     let mut salt = format!("gullspar {caller}").into_bytes();
     salt.resize(16, 0);
--- a/crates/gullspar_lab/src/lib.rs
+++ b/crates/gullspar_lab/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for the outside world, and a lab that runs them with instances in one process.
+//! A simulated platform and simulated database groups, and a lab that runs them together with real
+//! instances in one process.
 //!
-//! They are small fakes at the borders: enough to run a real client's SQL and to set faults, no
-//! model of a cluster.
+//! The simulations run the SQL of a real caller and accept injected faults. They don't model a
+//! cluster.
 
 mod borders;
 mod client;
--- a/crates/gullspar_lab/src/network.rs
+++ b/crates/gullspar_lab/src/network.rs
@@ -1,4 +1,4 @@
-//! Which address is in which data centre, and what lies between.
+//! The lab's network: the data centre of each address, and delays and traffic between them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use crate::Faults;
 
-/// Messages and bytes that instances exchanged for control, both directions together.
+/// Count of messages and bytes in both directions.
 #[derive(Debug, Default)]
 pub struct Traffic {
     pub messages: AtomicU64,
@@ -18,26 +18,26 @@
 }
 
 impl Traffic {
-    /// Counts a message.
+    /// Counts a message of this many bytes.
     pub(crate) fn add(&self, bytes: usize) {
         self.messages.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
-/// The lab's network: loopback, with the delays and cuts of the place it stands for.
+/// The lab's network: loopback with simulated delays and cuts between data centres.
 pub struct Network {
     data_centres: Mutex<HashMap<SocketAddr, DataCentre>>,
     one_way: Duration,
-    /// Calls between instances.
+    /// Traffic of calls between instances.
     pub peers: Traffic,
-    /// Links to targets and lanes. Without callers they carry observation alone.
+    /// Traffic on links to targets and lanes. Without callers it consists of status polls only.
     pub links: Traffic,
     pub(crate) faults: Arc<Faults>,
 }
 
 impl Network {
-    /// A network with `one_way` between data centres.
+    /// A network with a one-way delay of `one_way` between data centres.
     pub fn new(one_way: Duration, faults: Arc<Faults>) -> Arc<Network> {
         Arc::new(Network {
             data_centres: Mutex::default(),
@@ -48,19 +48,19 @@
         })
     }
 
-    /// Notes where an address is.
+    /// Records the data centre of an address.
     pub fn set_data_centre(&self, address: SocketAddr, data_centre: &DataCentre) {
         let mut data_centres = self.data_centres.lock().unwrap_or_else(PoisonError::into_inner);
         data_centres.insert(address, data_centre.clone());
     }
 
-    /// Where an address is.
+    /// The data centre of an address, if one was recorded.
     pub(crate) fn data_centre_of(&self, address: SocketAddr) -> Option<DataCentre> {
         let data_centres = self.data_centres.lock().unwrap_or_else(PoisonError::into_inner);
         data_centres.get(&address).cloned()
     }
 
-    /// The time from one data centre to another and back.
+    /// The round-trip time between two data centres.
     pub(crate) fn round_trip(&self, from: &DataCentre, to: &DataCentre) -> Duration {
         if from == to { Duration::ZERO } else { 2 * self.one_way }
     }
--- a/crates/gullspar_lab/src/workload.rs
+++ b/crates/gullspar_lab/src/workload.rs
@@ -1,4 +1,4 @@
-//! Callers that write and read, and note what they are told.
+//! Callers that write and read in a loop and record the outcomes they receive.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,26 +8,26 @@
 use crate::client::{Client, RequestOutcome};
 use crate::history::{History, WriteRecord};
 
-/// Pause before a caller that was refused or disconnected tries again.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// Pause before a caller that was refused or disconnected retries.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// How callers of a workload behave.
 #[derive(Clone, Debug)]
 pub struct WorkloadSettings {
-    /// Instances that callers move between, one after each few requests.
+    /// Caller addresses of the instances, which each caller uses in turn.
     pub addresses: Vec<SocketAddr>,
     pub service: String,
     pub user: String,
     pub callers: usize,
-    /// Pause between two writes of a caller.
+    /// Pause after each write of a caller.
     pub pause: Duration,
-    /// Whether each write is followed by a read that must see it, at another instance.
+    /// Whether each acknowledged write is followed by a read at another instance that must see it.
     pub read_back: bool,
-    /// Whether that read takes the session token along.
+    /// Whether that read carries the writer's session token.
     pub carry_token: bool,
-    /// Whether each write carries a request key and is repeated when its outcome is unknown.
+    /// Whether each write carries a request key, so that an instance can retry it.
     pub keyed: bool,
-    /// Begins all ids, so that runs on one lab are told apart.
+    /// Prefix of all ids; keeps the ids of several workloads on one lab distinct.
     pub prefix: String,
 }
 
@@ -38,17 +38,18 @@
 }
 
 impl Workload {
-    /// Starts the callers on a thread of their own.
+    /// Starts the callers on a new thread.
     pub fn start(settings: WorkloadSettings) -> Workload {
         let stop = Arc::new(AtomicBool::new(false));
-        let seen = Arc::clone(&stop);
+        let stop_requested = Arc::clone(&stop);
         let thread = std::thread::spawn(move || {
             let Ok(runtime) = compio::runtime::Runtime::new() else { return History::default() };
             runtime.block_on(async move {
                 let settings = std::rc::Rc::new(settings);
                 let callers: Vec<_> = (0..settings.callers)
                     .map(|number| {
-                        let caller = run_caller(number, settings.clone(), Arc::clone(&seen));
+                        let caller =
+                            run_caller(number, settings.clone(), Arc::clone(&stop_requested));
                         compio::runtime::spawn(caller)
                     })
                     .collect();
@@ -64,7 +65,7 @@
         Workload { stop, thread: Some(thread) }
     }
 
-    /// Stops the callers after their present request and gives what they were told.
+    /// Stops the callers after their current request and returns their history.
     pub fn stop(mut self) -> History {
         self.stop.store(true, Ordering::Relaxed);
         let thread = self.thread.take();
@@ -91,7 +92,7 @@
                     Ok(Ok(connected)) => connected,
                     _ => {
                         turn += 1;
-                        compio::time::sleep(RETRY_PAUSE).await;
+                        compio::time::sleep(RETRY_DELAY).await;
                         continue;
                     }
                 }
@@ -109,7 +110,7 @@
             client = Some(connected);
         } else {
             turn += 1;
-            compio::time::sleep(RETRY_PAUSE).await;
+            compio::time::sleep(RETRY_DELAY).await;
         }
         if !settings.pause.is_zero() {
             compio::time::sleep(settings.pause).await;
@@ -124,10 +125,11 @@
     settings: &WorkloadSettings,
     history: &mut History,
 ) -> RequestOutcome {
-    let mark = if settings.keyed { format!("/* gullspar key={id} */ ") } else { String::new() };
-    let sql = format!("{mark}INSERT INTO ledger VALUES ('{id}')");
+    let key_comment =
+        if settings.keyed { format!("/* gullspar key={id} */ ") } else { String::new() };
+    let sql = format!("{key_comment}INSERT INTO ledger VALUES ('{id}')");
     let sent_at = Instant::now();
-    // A connection that breaks before the answer leaves its caller not knowing.
+    // The outcome is unknown if the connection breaks before the answer.
     let outcome = match client.query(&sql).await {
         Ok(answer) => answer.outcome(),
         Err(_) => RequestOutcome::Unknown,
