--- a/crates/gullspar_lab/src/platform/mod.rs
+++ b/crates/gullspar_lab/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's object API, in memory.
+//! A simulated platform: the object API over objects in memory.
 
 mod server;
 mod store;
--- a/crates/gullspar_lab/src/platform/server.rs
+++ b/crates/gullspar_lab/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP side.
+//! The HTTP API of the simulated platform.
 
 use std::io;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 }
 
 record! {
-    /// The query of a watch.
+    /// The query parameters of a watch.
     struct WatchQuery { prefix: String, revision: u64, wait_ms: u64 }
 }
 
@@ -42,13 +42,13 @@
     cyper_axum::serve(listener, router).await
 }
 
-fn out_of_service() -> Response {
+fn service_unavailable() -> Response {
     (StatusCode::SERVICE_UNAVAILABLE, "the platform is out of service").into_response()
 }
 
 async fn get_object(State(state): State<PlatformState>, Path(key): Path<String>) -> Response {
     if state.faults.is_platform_out() {
-        return out_of_service();
+        return service_unavailable();
     }
     match state.store.get(&key) {
         Some(object) => Json(object).into_response(),
@@ -62,7 +62,7 @@
     Json(body): Json<PutBody>,
 ) -> Response {
     if state.faults.is_platform_out() {
-        return out_of_service();
+        return service_unavailable();
     }
     let result = state.store.put(&key, body.expected, body.value);
     if state.faults.consume_lost_answer() {
@@ -80,13 +80,13 @@
         loop {
             let changed = state.store.start_watch();
             if state.faults.is_platform_out() {
-                return out_of_service();
+                return service_unavailable();
             }
             let list = state.store.changes(&query.prefix, query.revision);
             if !list.objects.is_empty() || std::time::Instant::now() >= deadline {
                 return Json(list).into_response();
             }
-            // Time running out is no error: the loop answers with an empty list then.
+            // After a timeout the next iteration returns an empty list.
             let _ = compio::time::timeout_at(deadline, changed).await;
         }
     };
@@ -95,7 +95,7 @@
 
 async fn instances(State(state): State<PlatformState>) -> Response {
     if state.faults.is_platform_out() {
-        return out_of_service();
+        return service_unavailable();
     }
     Json(InstanceList { instances: state.store.instances() }).into_response()
 }
--- a/crates/gullspar_lab/src/platform/store.rs
+++ b/crates/gullspar_lab/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Objects with versions, conditional updates and watches.
+//! The store of the simulated platform: versioned objects, conditional updates and watches.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,7 +14,7 @@
 }
 
 record! {
-    /// Calls that the platform has counted; a waiting watch counts as one.
+    /// Counts of the calls to the platform; a watch counts again each time it wakes up.
     #[derive(Copy, Default)]
     pub struct CallCounts {
         pub reads: u64,
@@ -31,7 +31,7 @@
     counts: CallCounts,
 }
 
-/// The platform's memory.
+/// The objects and the list of instances that the platform holds.
 #[derive(Default)]
 pub struct PlatformStore {
     state: Mutex<StoreState>,
@@ -39,14 +39,15 @@
 }
 
 impl PlatformStore {
-    /// Reads one object.
+    /// Returns an object and counts a read.
     pub fn get(&self, key: &str) -> Option<WireObject> {
         let mut state = self.lock();
         state.counts.reads += 1;
-        state.objects.get(key).map(|it| wire(key, it))
+        state.objects.get(key).map(|it| wire_object(key, it))
     }
 
-    /// Writes an object if it is at `expected`, else tells the present version.
+    /// Writes an object if its version is `expected` (0: it doesn't exist) and returns the new version.
+    /// Otherwise the error is the current version.
     pub fn put(&self, key: &str, expected: u64, value: serde_json::Value) -> Result<u64, u64> {
         let mut state = self.lock();
         state.counts.writes += 1;
@@ -62,7 +63,7 @@
         Ok(actual + 1)
     }
 
-    /// What changed under `prefix` after `revision`.
+    /// The objects under `prefix` that changed after `revision`.
     pub fn changes(&self, prefix: &str, revision: u64) -> ObjectList {
         let state = self.lock();
         let objects = state
@@ -70,18 +71,18 @@
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
             .filter(|(_, it)| it.revision > revision)
-            .map(|(key, it)| wire(key, it))
+            .map(|(key, it)| wire_object(key, it))
             .collect();
         ObjectList { revision: state.revision, objects }
     }
 
-    /// Counts a watch and gives what to wait for.
+    /// Counts a watch and returns a listener for the next change.
     pub fn start_watch(&self) -> EventListener {
         self.lock().counts.watches += 1;
         self.changed.listen()
     }
 
-    /// The list of instances, as old as whoever set it last.
+    /// The list of instances as last set; counts a read.
     pub fn instances(&self) -> Vec<StoredInstance> {
         let mut state = self.lock();
         state.counts.reads += 1;
@@ -93,7 +94,7 @@
         self.lock().instances = instances;
     }
 
-    /// The calls counted so far.
+    /// The call counts so far.
     pub fn counts(&self) -> CallCounts {
         self.lock().counts
     }
@@ -103,6 +104,6 @@
     }
 }
 
-fn wire(key: &str, it: &StoredValue) -> WireObject {
+fn wire_object(key: &str, it: &StoredValue) -> WireObject {
     WireObject { key: key.to_owned(), version: it.version, value: it.value.clone() }
 }
