--- a/crates/gullspar_lab/src/group/control.rs
+++ b/crates/gullspar_lab/src/group/control.rs
@@ -1,6 +1,6 @@
-//! The functions through which a group exposes terms and positions.
+//! The SQL functions that read a member's terms and log position, and fence, promote or redirect it.
 //!
-//! They are described for real databases in `docs/design/target-contract.md`.
+//! `docs/design/target-contract.md` specifies them for real databases.
 
 use std::time::{Duration, Instant};
 
@@ -14,29 +14,20 @@
 /// A call of one of the control functions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ControlCall {
-    /// Answers when the status differs from what is known, or after the waiting time.
-    Status {
-        known_term: Term,
-        known_fence: Term,
-        known_position: LogPosition,
-        wait_ms: u64,
-    },
-    Fence {
-        term: Term,
-    },
-    Promote {
-        term: Term,
-    },
-    Follow {
-        term: Term,
-        primary: MemberName,
-    },
+    /// Returns once the status differs from the known values, or after `wait_ms`.
+    Status { known_term: Term, known_fence: Term, known_position: LogPosition, wait_ms: u64 },
+    /// Refuses all terms below `term` from now on.
+    Fence { term: Term },
+    /// Makes the member the primary of `term`.
+    Promote { term: Term },
+    /// Makes the member a replica of `primary` in `term`.
+    Follow { term: Term, primary: MemberName },
 }
 
 const PREFIX: &str = "SELECT group_";
 
 impl ControlCall {
-    /// Recognises a call by its text.
+    /// Parses a call; `None` if the statement is not one of a control function.
     pub(crate) fn parse(sql: &str) -> Option<ControlCall> {
         let call = sql.trim().trim_end_matches(';').strip_prefix(PREFIX)?;
         let (name, rest) = call.split_once('(')?;
@@ -61,7 +52,7 @@
         }
     }
 
-    /// Carries the call out on member `name`.
+    /// Runs the call on member `name`.
     pub(crate) async fn run(
         self,
         name: &MemberName,
@@ -76,10 +67,10 @@
                 loop {
                     let changed = member.borrow().changed.listen();
                     let status = member.borrow().status();
-                    let news = status.term != known_term
+                    let has_changed = status.term != known_term
                         || status.position > known_position
                         || status.fence != known_fence;
-                    if news || Instant::now() >= deadline {
+                    if has_changed || Instant::now() >= deadline {
                         return Ok(status_row(status));
                     }
                     let _ = compio::time::timeout_at(deadline, changed).await;
@@ -93,8 +84,8 @@
                 }
             },
             ControlCall::Promote { term } => {
-                let pause = Duration::from_millis(member.borrow().promotion_ms);
-                compio::time::sleep(pause).await;
+                let delay = Duration::from_millis(member.borrow().promotion_ms);
+                compio::time::sleep(delay).await;
                 if !member.borrow_mut().promote(term) {
                     return Err(SqlError::new("55000", "not fenced at that term"));
                 }
@@ -106,11 +97,11 @@
                 if std::rc::Rc::ptr_eq(other, member) {
                     return Err(SqlError::new("55000", "a member can't follow itself"));
                 }
-                let leads = {
+                let is_leader = {
                     let other = other.borrow();
                     other.role == MemberRole::Primary && other.term == term
                 };
-                if !leads || !member.borrow_mut().follow(term, &primary, &other.borrow().log) {
+                if !is_leader || !member.borrow_mut().follow(term, &primary, &other.borrow().log) {
                     return Err(SqlError::new("55000", "that primary can't be followed"));
                 }
             }
--- a/crates/gullspar_lab/src/group/log_record.rs
+++ b/crates/gullspar_lab/src/group/log_record.rs
@@ -4,12 +4,12 @@
 
 use gullspar_model::Term;
 
-/// A committed transaction, or the mark that a term began.
+/// A committed transaction, or the marker of the start of a term.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LogRecord {
     pub term: Term,
-    /// The statements with their values written in; empty for the mark.
+    /// The statements with their values inlined; empty for a marker.
     pub sql: String,
-    /// When the primary committed it; replicas see it their lag later.
+    /// When the primary committed it. A replica applies it no earlier than its lag after that time.
     pub committed_at: Instant,
 }
--- a/crates/gullspar_lab/src/group/member.rs
+++ b/crates/gullspar_lab/src/group/member.rs
@@ -1,4 +1,4 @@
-//! One member: its log, its database and the part it plays.
+//! A simulated member: its log, its database and its role.
 
 use std::io;
 use std::rc::Rc;
@@ -14,24 +14,24 @@
 
 use super::log_record::LogRecord;
 
-/// How a stand-in group behaves.
+/// The settings of a simulated group.
 #[derive(Clone, Debug)]
 pub struct GroupSettings {
     pub name: GroupName,
     pub members: Vec<MemberSettings>,
-    /// Time that replicas stay behind, in milliseconds.
+    /// Replication lag in milliseconds.
     pub lag_ms: u64,
-    /// Time that a promotion takes, in milliseconds.
+    /// Duration of a promotion in milliseconds.
     pub promotion_ms: u64,
-    /// Time that a new connection costs, in milliseconds.
+    /// Time to set up a connection, in milliseconds.
     pub connection_cost_ms: u64,
-    /// Time that a statement holds a slot, in microseconds.
+    /// Time for which a statement occupies a slot, in microseconds.
     pub statement_us: u64,
-    /// Statements that make the schema.
+    /// Statements that create the schema.
     pub schema: String,
 }
 
-/// How one member behaves.
+/// The settings of one member.
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
     pub name: MemberName,
@@ -40,7 +40,7 @@
     pub connections: u32,
 }
 
-/// What a member counts, for checks.
+/// Counters of a member, for checks in tests and benches.
 #[derive(Debug, Default)]
 pub struct MemberCounts {
     pub connections: AtomicU32,
@@ -50,25 +50,25 @@
 }
 
 impl MemberCounts {
-    /// Counts a connection in, unless the limit is reached.
+    /// Counts a new connection and returns true, unless `limit` connections are open already.
     pub(crate) fn connect(&self, limit: u32) -> bool {
-        let now = self.connections.fetch_add(1, Ordering::Relaxed) + 1;
-        if now > limit {
+        let open_connections = self.connections.fetch_add(1, Ordering::Relaxed) + 1;
+        if open_connections > limit {
             self.connections.fetch_sub(1, Ordering::Relaxed);
             self.refused_connections.fetch_add(1, Ordering::Relaxed);
             return false;
         }
-        self.peak_connections.fetch_max(now, Ordering::Relaxed);
+        self.peak_connections.fetch_max(open_connections, Ordering::Relaxed);
         true
     }
 
-    /// Counts a connection out.
+    /// Counts a connection as closed.
     pub(crate) fn disconnect(&self) {
         self.connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A member's state. All of it survives a stop, as on a disk.
+/// A member's state. A `Stopped` fault does not clear it, as if it were on disk.
 pub struct Member {
     pub(crate) settings: MemberSettings,
     pub(crate) target: String,
@@ -103,7 +103,7 @@
             connection_cost_ms: group.connection_cost_ms,
             statement_us: group.statement_us,
             schema: group.schema.clone(),
-            db: open(&group.schema)?,
+            db: open_database(&group.schema)?,
             log: Vec::new(),
             role: MemberRole::Detached,
             term: Term(0),
@@ -116,7 +116,7 @@
         })
     }
 
-    /// One reading, all of it of this instant.
+    /// A consistent snapshot of the member's status.
     pub(crate) fn status(&self) -> MemberStatus {
         MemberStatus {
             role: self.role,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Appends a committed transaction of this member's own term.
+    /// Appends a transaction to the log, in the member's current term.
     pub(crate) fn commit(&mut self, sql: String) {
         let term = self.term;
         self.log.push(LogRecord { term, sql, committed_at: Instant::now() });
@@ -146,7 +146,7 @@
         decision
     }
 
-    /// Becomes the primary of the term that it was fenced at.
+    /// Becomes the primary of `term`; false if the member isn't fenced at that term.
     pub(crate) fn promote(&mut self, term: Term) -> bool {
         if self.fence != term {
             return false;
@@ -161,16 +161,25 @@
         true
     }
 
-    /// Follows `primary`, whose log is `other`, after dropping what that log doesn't hold.
-    pub(crate) fn follow(&mut self, term: Term, primary: &MemberName, other: &[LogRecord]) -> bool {
+    /// Becomes a replica of `primary`, whose log is `primary_log`, and drops the records that this log
+    /// doesn't hold. False if the member is fenced at a later term or is the primary of `term` itself.
+    pub(crate) fn follow(
+        &mut self,
+        term: Term,
+        primary: &MemberName,
+        primary_log: &[LogRecord],
+    ) -> bool {
         if term < self.fence || (term == self.term && self.role == MemberRole::Primary) {
             return false;
         }
         if self.role == MemberRole::Replica && self.term == term {
             return true;
         }
-        let common =
-            self.log.iter().zip(other).take_while(|(a, b)| a.term == b.term && a.sql == b.sql);
+        let common = self
+            .log
+            .iter()
+            .zip(primary_log)
+            .take_while(|(a, b)| a.term == b.term && a.sql == b.sql);
         let common = common.count();
         if common < self.log.len() {
             self.truncate(common);
@@ -183,7 +192,7 @@
         true
     }
 
-    /// Applies a record of the primary's log.
+    /// Applies a record of the primary's log and appends it to the own log.
     pub(crate) fn apply(&mut self, record: LogRecord) {
         if let Err(err) = self.db.execute_batch(&record.sql) {
             log::error!("L0102 {} could not apply `{}`: {err}", self.target, record.sql);
@@ -192,10 +201,10 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Rebuilds the database from the first `length` records.
+    /// Drops all records after the first `length` and rebuilds the database from the rest.
     fn truncate(&mut self, length: usize) {
         self.log.truncate(length);
-        let Ok(db) = open(&self.schema) else { return };
+        let Ok(db) = open_database(&self.schema) else { return };
         for record in &self.log {
             if let Err(err) = db.execute_batch(&record.sql) {
                 log::error!("L0102 {} could not apply `{}`: {err}", self.target, record.sql);
@@ -205,7 +214,7 @@
     }
 }
 
-fn open(schema: &str) -> io::Result<Connection> {
+fn open_database(schema: &str) -> io::Result<Connection> {
     let db = Connection::open_in_memory().map_err(io::Error::other)?;
     db.execute_batch(schema).map_err(io::Error::other)?;
     Ok(db)
--- a/crates/gullspar_lab/src/group/mod.rs
+++ b/crates/gullspar_lab/src/group/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a database group: members that speak PostgreSQL, with terms, log positions,
-//! asynchronous replication, slots, a connection limit and a connection cost.
+//! A simulated database group: members that speak the PostgreSQL protocol, with terms, log positions,
+//! asynchronous replication, slots, a connection limit and a delay for new connections.
 //!
-//! SQLite runs the SQL. A replica applies its primary's statements in order, so the log is a list of
-//! statements and a position is a count of them.
+//! SQLite runs the SQL. A replica applies its primary's transactions in order, so the log is a list of
+//! transactions and a position is their count.
 
 mod control;
 mod log_record;
@@ -32,7 +32,7 @@
 
 /// Runs a group until the task is dropped.
 ///
-/// `counts` receives what the members count, in the order of the settings.
+/// `counts` holds the counters of the members, in the order of the settings.
 pub async fn run_group(
     settings: GroupSettings,
     listeners: MemberListeners,
@@ -42,8 +42,8 @@
     let mut members = HashMap::new();
     let parts = settings.members.iter().zip(&counts);
     for (member, counts) in parts {
-        let standin = Member::new(&settings, member, Arc::clone(counts))?;
-        members.insert(member.name.clone(), Rc::new(RefCell::new(standin)));
+        let state = Member::new(&settings, member, Arc::clone(counts))?;
+        members.insert(member.name.clone(), Rc::new(RefCell::new(state)));
     }
     let members: Members = Rc::new(members);
     let mut tasks = Vec::new();
--- a/crates/gullspar_lab/src/group/session/execution.rs
+++ b/crates/gullspar_lab/src/group/session/execution.rs
@@ -1,4 +1,4 @@
-//! Running statements and transactions on the member's database.
+//! Runs statements and transactions on the member's database.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -55,7 +55,7 @@
             let lock = Arc::clone(&self.member.borrow().lock);
             self.guard = Some(lock.lock_arc().await);
             let member = self.member.borrow();
-            self.begun_under = Some(member.term);
+            self.transaction_term = Some(member.term);
             member.db.execute_batch("BEGIN")?;
         }
         Ok(())
@@ -67,17 +67,18 @@
         }
         let superseded = {
             let member = self.member.borrow();
-            let leads = self.begun_under == Some(member.term) && member.role == MemberRole::Primary;
-            !self.pending.is_empty() && !leads
+            let is_leader =
+                self.transaction_term == Some(member.term) && member.role == MemberRole::Primary;
+            !self.pending_writes.is_empty() && !is_leader
         };
         if superseded {
             self.roll_back();
-            return Err(SqlError::new("25006", "the member no longer leads"));
+            return Err(SqlError::new("25006", "the member is no longer the primary"));
         }
-        let sql = std::mem::take(&mut self.pending).join(";\n");
+        let sql = std::mem::take(&mut self.pending_writes).join(";\n");
         {
             let mut member = self.member.borrow_mut();
-            // The database may have been rebuilt meanwhile; then nothing was open in it.
+            // Fails if the database was rebuilt after BEGIN: the new one has no open transaction.
             let _ = member.db.execute_batch("COMMIT");
             if !sql.is_empty() {
                 member.commit(sql);
@@ -89,30 +90,30 @@
 
     pub(super) fn roll_back(&mut self) {
         if self.guard.is_some() {
-            // Nothing is open any more after a commit or a rebuild.
+            // Fails after a commit or a rebuild, when no transaction is open.
             let _ = self.member.borrow().db.execute_batch("ROLLBACK");
         }
         self.guard = None;
         self.failed = false;
-        self.pending.clear();
-        self.begun_under = None;
+        self.pending_writes.clear();
+        self.transaction_term = None;
     }
 
     async fn run_sql(&mut self, sql: &str, values: &[SqlValue]) -> Result<SqlResult, SqlError> {
-        self.spend_time().await;
-        let single = self.guard.is_none();
-        if single {
+        self.occupy_slot().await;
+        let is_autocommit = self.guard.is_none();
+        if is_autocommit {
             self.begin().await?;
         }
-        match self.step(sql, values) {
+        match self.execute(sql, values) {
             Ok(result) => {
-                if single {
+                if is_autocommit {
                     self.commit()?;
                 }
                 Ok(result)
             }
             Err(err) => {
-                if single {
+                if is_autocommit {
                     self.roll_back();
                 }
                 Err(err)
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Holds a slot for as long as a statement takes.
-    async fn spend_time(&self) {
+    /// Occupies a slot for the simulated duration of a statement.
+    async fn occupy_slot(&self) {
         let slots = Arc::clone(&self.member.borrow().slots);
         let _slot = slots.acquire_arc().await;
         let (target, mut time) = {
@@ -136,11 +137,11 @@
         }
     }
 
-    fn step(&mut self, sql: &str, values: &[SqlValue]) -> Result<SqlResult, SqlError> {
+    fn execute(&mut self, sql: &str, values: &[SqlValue]) -> Result<SqlResult, SqlError> {
         let member = self.member.borrow();
         let mut statement = member.db.prepare_cached(sql)?;
-        let reads = statement.readonly();
-        if !reads && member.role != MemberRole::Primary {
+        let is_read_only = statement.readonly();
+        if !is_read_only && member.role != MemberRole::Primary {
             let text = "cannot execute a write in a read-only transaction";
             return Err(SqlError::new("25006", text));
         }
@@ -150,20 +151,20 @@
             let value = values.get(position - 1).cloned().unwrap_or(SqlValue::Null);
             statement.raw_bind_parameter(index, value)?;
         }
-        let expanded = if reads { None } else { statement.expanded_sql() };
+        let expanded = if is_read_only { None } else { statement.expanded_sql() };
         let columns = describe(&statement);
         let mut rows = Vec::new();
         let mut cursor = statement.raw_query();
         while let Some(row) = cursor.next()? {
-            let mut line = Vec::with_capacity(columns.len());
+            let mut row_values = Vec::with_capacity(columns.len());
             for index in 0..columns.len() {
-                line.push(SqlValue::from_sqlite(row.get_ref(index)?));
+                row_values.push(SqlValue::from_sqlite(row.get_ref(index)?));
             }
-            rows.push(line);
+            rows.push(row_values);
         }
         drop(cursor);
         let changes = member.db.changes();
-        self.pending.extend(expanded);
+        self.pending_writes.extend(expanded);
         let first = word(sql, 0);
         let tag = match first.as_str() {
             "INSERT" => format!("INSERT 0 {changes}"),
@@ -175,7 +176,7 @@
     }
 }
 
-/// The columns of a statement's rows.
+/// The columns of a statement's result, with types guessed from declarations and names.
 pub(super) fn describe(statement: &rusqlite::Statement<'_>) -> Vec<SqlColumn> {
     let columns = statement.columns();
     columns
@@ -184,8 +185,9 @@
             let declared = it.decl_type().unwrap_or("").to_ascii_uppercase();
             let name = it.name().to_owned();
             let call = name.to_ascii_lowercase();
-            let counts = ["count(", "sum(", "max(", "min("].iter().any(|it| call.starts_with(it));
-            let type_id = if declared.contains("INT") || counts {
+            let is_aggregate =
+                ["count(", "sum(", "max(", "min("].iter().any(|it| call.starts_with(it));
+            let type_id = if declared.contains("INT") || is_aggregate {
                 type_id::INT8
             } else if declared.contains("REAL") {
                 type_id::FLOAT8
--- a/crates/gullspar_lab/src/group/session/extended.rs
+++ b/crates/gullspar_lab/src/group/session/extended.rs
@@ -1,4 +1,4 @@
-//! The extended protocol: statements that are parsed, bound, described and executed one by one.
+//! Messages of the extended query protocol: Parse, Bind, Describe, Execute and Close.
 
 use super::parameters::{read_types, read_values};
 use super::portal::{Portal, Prepared};
@@ -10,10 +10,10 @@
 
 impl Session {
     pub(super) async fn extended(&mut self, frame: &Frame) -> Result<(), SqlError> {
-        let broken = |err: WireError| SqlError::new("08P01", err.to_string());
+        let protocol_error = |err: WireError| SqlError::new("08P01", err.to_string());
         match frame.kind() {
             caller::PARSE => {
-                let (name, sql, types) = parse_parts(frame).map_err(broken)?;
+                let (name, sql, types) = parse_parts(frame).map_err(protocol_error)?;
                 let prepared = Prepared { sql: sql.to_owned(), parameter_types: read_types(types) };
                 if !name.is_empty() && self.statements.contains_key(name) {
                     return Err(SqlError::new("42P05", format!("\"{name}\" already exists")));
@@ -22,7 +22,7 @@
                 self.channel.queue(Frame::new(target::PARSE_COMPLETE, &[]).bytes());
             }
             caller::BIND => {
-                let (portal, statement, rest) = bind_parts(frame).map_err(broken)?;
+                let (portal, statement, rest) = bind_parts(frame).map_err(protocol_error)?;
                 let prepared = self.prepared(statement)?;
                 let values = read_values(rest, &prepared.parameter_types)
                     .ok_or_else(|| SqlError::new("08P01", "malformed Bind"))?;
@@ -31,7 +31,7 @@
                 self.channel.queue(Frame::new(target::BIND_COMPLETE, &[]).bytes());
             }
             caller::DESCRIBE => {
-                let (kind, name) = kind_and_name(frame).map_err(broken)?;
+                let (kind, name) = kind_and_name(frame).map_err(protocol_error)?;
                 let columns = if kind == b'S' {
                     let prepared = self.prepared(name)?;
                     let types = wire::parameter_description(&prepared.parameter_types);
@@ -47,13 +47,13 @@
                 }
             }
             caller::EXECUTE => {
-                let name = frame.first_text().map_err(broken)?.to_owned();
+                let name = frame.first_text().map_err(protocol_error)?.to_owned();
                 let result = self.portal_result(&name).await?;
                 self.portals.remove(&name);
                 wire::rows(&result, self.channel.outgoing());
             }
             caller::CLOSE => {
-                let (kind, name) = kind_and_name(frame).map_err(broken)?;
+                let (kind, name) = kind_and_name(frame).map_err(protocol_error)?;
                 if kind == b'S' {
                     self.statements.remove(name);
                 } else {
@@ -61,7 +61,7 @@
                 }
                 self.channel.queue(Frame::new(target::CLOSE_COMPLETE, &[]).bytes());
             }
-            other => return Err(SqlError::new("08P01", format!("unknown message {other}"))),
+            other => return Err(SqlError::new("08P01", format!("unknown message type {other}"))),
         }
         Ok(())
     }
--- a/crates/gullspar_lab/src/group/session/mod.rs
+++ b/crates/gullspar_lab/src/group/session/mod.rs
@@ -1,4 +1,4 @@
-//! One client's connection to a member.
+//! The PostgreSQL sessions of a simulated member.
 
 mod execution;
 mod extended;
@@ -21,7 +21,7 @@
 use crate::Faults;
 use crate::faults::TargetFault;
 
-/// Accepts clients of member `name`.
+/// Accepts connections to member `name` and serves each in its own task.
 pub(crate) async fn accept(
     listener: TcpListener,
     name: MemberName,
--- a/crates/gullspar_lab/src/group/session/parameters.rs
+++ b/crates/gullspar_lab/src/group/session/parameters.rs
@@ -1,10 +1,10 @@
-//! The types and values of a statement's parameters, as messages carry them.
+//! Decodes the types and values of a statement's parameters.
 
 use bytes::{Buf, BytesMut};
 
 use super::value::SqlValue;
 
-/// The parameter types that a Parse message names.
+/// The type ids of the parameters in a Parse message.
 pub(super) fn read_types(mut rest: &[u8]) -> Vec<u32> {
     if rest.len() < 2 {
         return Vec::new();
@@ -16,8 +16,8 @@
 /// The parameter values of a Bind message; `None` if it is malformed.
 pub(super) fn read_values(rest: &[u8], types: &[u32]) -> Option<Vec<SqlValue>> {
     let mut buf = BytesMut::from(rest);
-    let formats = take_formats(&mut buf)?;
-    let count = usize::from(take_u16(&mut buf)?);
+    let formats = read_formats(&mut buf)?;
+    let count = usize::from(read_u16(&mut buf)?);
     let mut values = Vec::with_capacity(count);
     for index in 0..count {
         if buf.len() < 4 {
@@ -37,11 +37,11 @@
     Some(values)
 }
 
-fn take_formats(buf: &mut BytesMut) -> Option<Vec<u16>> {
-    let count = take_u16(buf)?;
-    (0..count).map(|_| take_u16(buf)).collect()
+fn read_formats(buf: &mut BytesMut) -> Option<Vec<u16>> {
+    let count = read_u16(buf)?;
+    (0..count).map(|_| read_u16(buf)).collect()
 }
 
-fn take_u16(buf: &mut BytesMut) -> Option<u16> {
+fn read_u16(buf: &mut BytesMut) -> Option<u16> {
     (buf.len() >= 2).then(|| buf.get_u16())
 }
--- a/crates/gullspar_lab/src/group/session/portal.rs
+++ b/crates/gullspar_lab/src/group/session/portal.rs
@@ -10,7 +10,7 @@
     pub parameter_types: Vec<u32>,
 }
 
-/// A statement with its values; run at its first Describe or Execute.
+/// A statement with bound values. It is run by the first Describe or Execute, and the result is kept.
 #[derive(Clone, Debug)]
 pub(crate) struct Portal {
     pub sql: String,
--- a/crates/gullspar_lab/src/group/session/session_loop.rs
+++ b/crates/gullspar_lab/src/group/session/session_loop.rs
@@ -1,4 +1,4 @@
-//! The messages of one client, one after the other.
+//! Serves the messages of one connection in order.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,10 +24,11 @@
     startup_parameters, status, target,
 };
 
-/// A client that sends nothing for this long while it holds the database's lock is cut off.
-const LONGEST_PAUSE_IN_TRANSACTION: Duration = Duration::from_secs(30);
+/// A connection is closed after this time without a message while its transaction holds the member's
+/// lock.
+const IDLE_IN_TRANSACTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Serves one client until it leaves or the member stops.
+/// Serves one connection until the other side closes it or the member stops.
 pub(crate) async fn run(
     stream: TcpStream,
     name: MemberName,
@@ -44,10 +45,10 @@
         member,
         faults,
         guard: None,
-        pending: Vec::new(),
+        pending_writes: Vec::new(),
         failed: false,
         failed_batch: false,
-        begun_under: None,
+        transaction_term: None,
         statements: HashMap::new(),
         portals: HashMap::new(),
         counted: false,
@@ -55,10 +56,10 @@
     {
         let serve = session.serve();
         futures::pin_mut!(serve, stop);
-        // Whichever ends first ends the session; the link goes with it.
+        // The first to finish ends the session and thereby the connection.
         let _ = future::select(serve, stop).await;
     }
-    session.end();
+    session.close();
 }
 
 async fn wait_for_stop(member: Rc<RefCell<Member>>, faults: Arc<Faults>) {
@@ -72,23 +73,26 @@
     }
 }
 
-/// One client's session.
+/// The state of one connection.
 pub(super) struct Session {
     pub(super) channel: Channel,
     pub(super) name: MemberName,
     pub(super) members: Members,
     pub(super) member: Rc<RefCell<Member>>,
     pub(super) faults: Arc<Faults>,
-    /// Held from the first statement of a transaction to its end.
+    /// The member's lock, held from the first statement of a transaction to its end.
     pub(super) guard: Option<async_lock::MutexGuardArc<()>>,
-    /// Statements of the open transaction that wrote, with their values.
-    pub(super) pending: Vec<String>,
+    /// Writing statements of the open transaction, with their values inlined.
+    pub(super) pending_writes: Vec<String>,
+    /// Whether a statement of the open transaction failed.
     pub(super) failed: bool,
     /// Whether messages are skipped up to the next Sync.
     failed_batch: bool,
-    pub(super) begun_under: Option<Term>,
+    /// The member's term when the open transaction began.
+    pub(super) transaction_term: Option<Term>,
     pub(super) statements: HashMap<String, Prepared>,
     pub(super) portals: HashMap<String, Portal>,
+    /// Whether the connection is included in the member's count of connections.
     counted: bool,
 }
 
@@ -100,7 +104,7 @@
         loop {
             let next = self.channel.next();
             let frame = if self.guard.is_some() {
-                match compio::time::timeout(LONGEST_PAUSE_IN_TRANSACTION, next).await {
+                match compio::time::timeout(IDLE_IN_TRANSACTION_TIMEOUT, next).await {
                     Ok(frame) => frame?,
                     Err(_) => return Ok(()),
                 }
@@ -189,7 +193,7 @@
             (true, false) => status::IN_TRANSACTION,
             (true, true) => status::FAILED,
         };
-        // A member hung in the middle of a statement must not answer either.
+        // A member that starts to hang during a statement must not answer it either.
         self.wait_while_hung().await;
         self.channel.queue(ready(state).bytes());
         self.channel.flush().await
@@ -222,7 +226,7 @@
         Ok(results)
     }
 
-    fn end(&mut self) {
+    fn close(&mut self) {
         self.roll_back();
         if self.counted {
             self.member.borrow().counts.disconnect();
--- a/crates/gullspar_lab/src/group/session/sql_error.rs
+++ b/crates/gullspar_lab/src/group/session/sql_error.rs
@@ -1,6 +1,6 @@
-//! An error of the stand-in's SQL.
+//! Errors of a simulated member's SQL.
 
-/// An SQLSTATE and a text.
+/// An SQLSTATE and a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SqlError {
     pub code: &'static str,
--- a/crates/gullspar_lab/src/group/session/sql_text.rs
+++ b/crates/gullspar_lab/src/group/session/sql_text.rs
@@ -1,6 +1,6 @@
-//! What can be told from the text of statements.
+//! Splits and classifies the text of SQL statements.
 
-/// The statements of a script; a semicolon within quotes separates nothing.
+/// The statements of a script. A semicolon within single quotes is not a separator.
 pub(super) fn statements(text: &str) -> Vec<&str> {
     let mut quoted = false;
     let parts = text.split(|it: char| {
@@ -10,7 +10,7 @@
     parts.map(str::trim).filter(|it| !it.is_empty()).collect()
 }
 
-/// The statement's word at `index`, in capitals.
+/// The statement's word at `index`, in upper case; leading comments are skipped.
 pub(super) fn word(sql: &str, index: usize) -> String {
     let mut text = sql.trim_start();
     while let Some(rest) = text.strip_prefix("/*") {
@@ -20,7 +20,7 @@
     found.unwrap_or("").to_ascii_uppercase()
 }
 
-/// The tag of a statement that only changes session settings, which the stand-in has none of.
+/// The command tag of a statement that only changes session state, which the member doesn't keep.
 pub(super) fn settings_tag(sql: &str) -> Option<String> {
     match word(sql, 0).as_str() {
         "SET" => Some("SET".to_owned()),
--- a/crates/gullspar_lab/src/group/session/value.rs
+++ b/crates/gullspar_lab/src/group/session/value.rs
@@ -1,8 +1,8 @@
-//! Values between PostgreSQL's wire and SQLite.
+//! Converts values between the PostgreSQL protocol and SQLite.
 
 use rusqlite::types::{ToSqlOutput, Value, ValueRef};
 
-/// A column's value.
+/// The value of a column or parameter.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum SqlValue {
     Null,
@@ -11,7 +11,7 @@
     Text(String),
 }
 
-/// PostgreSQL's type numbers that the stand-in knows.
+/// The PostgreSQL type ids that are supported.
 pub(crate) mod type_id {
     pub(crate) const INT8: u32 = 20;
     pub(crate) const INT2: u32 = 21;
@@ -21,7 +21,7 @@
 }
 
 impl SqlValue {
-    /// Takes a value out of a row.
+    /// Converts a value of a result row.
     pub(crate) fn from_sqlite(value: ValueRef<'_>) -> SqlValue {
         match value {
             ValueRef::Null => SqlValue::Null,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Reads a bound parameter of the given type and format.
+    /// Decodes a bound parameter of the given type and format; `bytes` is `None` for NULL.
     pub(crate) fn from_wire(bytes: Option<&[u8]>, type_id: u32, binary: bool) -> SqlValue {
         let Some(bytes) = bytes else { return SqlValue::Null };
         if binary {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The value in PostgreSQL's text format.
+    /// The value in PostgreSQL's text format; `None` for NULL.
     pub(crate) fn to_text(&self) -> Option<String> {
         match self {
             SqlValue::Null => None,
--- a/crates/gullspar_lab/src/group/session/wire.rs
+++ b/crates/gullspar_lab/src/group/session/wire.rs
@@ -1,4 +1,4 @@
-//! Writes results as PostgreSQL messages.
+//! Encodes results as PostgreSQL messages.
 
 use bytes::{BufMut, BytesMut};
 use gullspar_wire::{Frame, command_complete, target};
@@ -6,7 +6,7 @@
 use super::value::type_id;
 use crate::group::sql_result::{SqlColumn, SqlResult};
 
-/// A RowDescription of text columns.
+/// A RowDescription message, with all columns in text format.
 pub(crate) fn row_description(columns: &[SqlColumn]) -> Frame {
     let mut body = BytesMut::new();
     body.put_u16(columns.len() as u16);
@@ -23,7 +23,7 @@
     Frame::new(target::ROW_DESCRIPTION, &body)
 }
 
-/// The rows and the CommandComplete of a result.
+/// Appends the DataRow messages and the CommandComplete of a result to `out`.
 pub(crate) fn rows(result: &SqlResult, out: &mut BytesMut) {
     for row in &result.rows {
         let mut body = BytesMut::new();
@@ -42,7 +42,7 @@
     out.extend_from_slice(command_complete(&result.tag).bytes());
 }
 
-/// A ParameterDescription.
+/// A ParameterDescription message; parameters without a type become text.
 pub(crate) fn parameter_description(types: &[u32]) -> Frame {
     let mut body = BytesMut::new();
     body.put_u16(types.len() as u16);
--- a/crates/gullspar_lab/src/group/sql_result.rs
+++ b/crates/gullspar_lab/src/group/sql_result.rs
@@ -1,13 +1,13 @@
-//! What a statement brought.
+//! The result of a statement.
 
 use crate::group::session::value::SqlValue;
 
-/// Columns and rows of a statement, or what it changed.
+/// The rows that a statement returned and its command tag.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SqlResult {
     pub columns: Vec<SqlColumn>,
     pub rows: Vec<Vec<SqlValue>>,
-    /// The command tag, as `INSERT 0 1`.
+    /// The command tag, for example `INSERT 0 1`.
     pub tag: String,
 }
 
