--- a/crates/gullspar_lab/tests/bad_input.rs
+++ b/crates/gullspar_lab/tests/bad_input.rs
@@ -1,5 +1,4 @@
-//! Malformed, oversized and forged input: a clear error, that connection refused, nothing else
-//! disturbed.
+//! Malformed, oversized and forged input must cause a clear error and affect no other connection.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -10,10 +9,10 @@
 use support::{LabUnderTest, run};
 use test_case::test_case;
 
-/// Runs a statement beside the misbehaving caller, which must not be disturbed.
-async fn assert_undisturbed(lab: &LabUnderTest) {
-    let mut bystander = lab.connect(0, "strict").await;
-    let answer = bystander.query("SELECT id FROM doors").await.unwrap();
+/// Checks that a statement of another caller still succeeds.
+async fn assert_other_callers_unaffected(lab: &LabUnderTest) {
+    let mut other_caller = lab.connect(0, "strict").await;
+    let answer = other_caller.query("SELECT id FROM doors").await.unwrap();
     assert_eq!((answer.outcome(), answer.rows.len()), (RequestOutcome::Done, 3));
 }
 
@@ -24,7 +23,7 @@
 #[test_case(&[b'F', 0, 0, 0, 4]; "a function call")]
 #[test_case(&[b'D', 0, 0, 0, 4]; "an empty describe")]
 #[test_case(&[b'B', 0, 0, 0, 5, b'x']; "a bind without its end")]
-fn a_malformed_message_ends_its_own_connection_with_a_protocol_error(bytes: &[u8]) {
+fn a_malformed_message_closes_only_its_own_connection(bytes: &[u8]) {
     let lab = LabUnderTest::small();
     run(async {
         let mut client = lab.connect(0, "strict").await;
@@ -33,14 +32,19 @@
         let report = answer.error.unwrap();
         assert_eq!((report.severity.as_str(), report.code.as_str()), ("FATAL", "08P01"));
         assert!(client.query("SELECT 1").await.is_err());
-        assert_undisturbed(&lab).await;
+        assert_other_callers_unaffected(&lab).await;
     });
 }
 
 #[test_case("strict", "wrong", "tours", "28P01"; "a wrong password")]
 #[test_case("nobody", "nobody", "tours", "28P01"; "an unknown caller")]
 #[test_case("strict", "strict", "nowhere", "3D000"; "an unknown service")]
-fn a_session_is_refused_with_its_own_code(user: &str, password: &str, service: &str, code: &str) {
+fn a_refused_session_gets_the_matching_sqlstate(
+    user: &str,
+    password: &str,
+    service: &str,
+    code: &str,
+) {
     let lab = LabUnderTest::small();
     run(async {
         lab.connect(0, "strict").await;
@@ -50,29 +54,27 @@
             Err(WireError::Server(report)) => assert_eq!(report.code, code),
             other => panic!("not refused: {other:?}"),
         }
-        assert_undisturbed(&lab).await;
+        assert_other_callers_unaffected(&lab).await;
     });
 }
 
-/// Symptom: a caller's reads wait for a position that was never reached, or it learns how much
-/// another one writes.
-/// Events: a token is forged, altered, or taken from another caller.
-/// Cause to guard against: trusting a token that is not bound to its caller.
+/// A forged position could block reads, and another caller's token would reveal how much that caller
+/// writes, so a token must be valid only for the caller that it was issued to.
 #[test]
-fn forged_and_borrowed_tokens_are_refused() {
+fn forged_and_foreign_tokens_are_refused() {
     let lab = LabUnderTest::small();
     run(async {
         let mut owner = lab.connect(0, "strict").await;
         owner.query("INSERT INTO ledger VALUES ('x')").await.unwrap();
         let token = owner.token.clone().unwrap();
-        let mut borrower = lab.connect(1, "tolerant").await;
+        let mut other = lab.connect(1, "tolerant").await;
         let altered = token.replacen(":1:", ":9:", 1);
         for text in [token.as_str(), altered.as_str(), "rubbish", "core:1:x:y", ""] {
-            let answer = borrower.query(&format!("SET gullspar.token = '{text}'")).await.unwrap();
+            let answer = other.query(&format!("SET gullspar.token = '{text}'")).await.unwrap();
             assert_eq!(answer.error.unwrap().code, "22023", "{text}");
         }
-        let kept = owner.query(&format!("SET gullspar.token = '{token}'")).await.unwrap();
-        assert_eq!(kept.error, None);
+        let accepted = owner.query(&format!("SET gullspar.token = '{token}'")).await.unwrap();
+        assert_eq!(accepted.error, None);
     });
 }
 
@@ -82,7 +84,7 @@
 #[test_case("SET gullspar.deadline_ms = soon", "22023"; "a setting that is no number")]
 #[test_case("SET gullspar.instance = 'x'", "55P02"; "a setting that can't be set")]
 #[test_case("SELECT * FROM nowhere", "42P01"; "the target's own error")]
-fn a_statement_is_refused_and_the_session_goes_on(sql: &str, code: &str) {
+fn a_refused_statement_does_not_end_the_session(sql: &str, code: &str) {
     let lab = LabUnderTest::small();
     run(async {
         let mut client = lab.connect(0, "strict").await;
@@ -93,21 +95,21 @@
     });
 }
 
-/// Symptom: callers find no place although few are there.
-/// Events: connections are opened and say nothing, or stop in the middle of the start-up.
+/// Connections that never send a startup message must not use up the capacity for other callers.
 #[test]
-fn half_open_connections_disturb_nobody() {
+fn half_open_connections_do_not_affect_other_callers() {
     let lab = LabUnderTest::small();
     let address = lab.caller_address(0);
-    let silent: Vec<_> = (0..50).map(|_| std::net::TcpStream::connect(address).unwrap()).collect();
-    run(assert_undisturbed(&lab));
-    drop(silent);
+    let idle_connections: Vec<_> =
+        (0..50).map(|_| std::net::TcpStream::connect(address).unwrap()).collect();
+    run(assert_other_callers_unaffected(&lab));
+    drop(idle_connections);
 }
 
-/// Symptom: a caller that overlooked an error runs the rest of its transaction as single statements.
-/// Events: the primary stops in the middle of a transaction; the caller goes on writing.
+/// After the target of a transaction was lost, the rest of the transaction must not run as single
+/// statements.
 #[test]
-fn a_lost_transaction_refuses_everything_until_it_is_ended() {
+fn a_lost_transaction_refuses_statements_until_it_is_ended() {
     let lab = LabUnderTest::small();
     run(async {
         let mut client = lab.connect(0, "strict").await;
@@ -116,7 +118,7 @@
         let target = lab.primary();
         let fault = gullspar_lab::TargetFault::Stopped;
         lab.lab.faults.apply(gullspar_lab::FaultChange::Target { target, fault });
-        compio::time::sleep(support::FAULT_SETTLES).await;
+        compio::time::sleep(support::FAULT_DELAY).await;
         let lost = client.query("INSERT INTO ledger VALUES ('y')").await.unwrap();
         assert_eq!((lost.outcome(), lost.status), (RequestOutcome::NotRun, b'E'));
         let next = client.query("INSERT INTO ledger VALUES ('z')").await.unwrap();
--- a/crates/gullspar_lab/tests/failover.rs
+++ b/crates/gullspar_lab/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Primaries that fail, in every way that the brief names, under callers that write all the time.
+//! Failures of primaries, links, instances and the platform while callers write.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -8,10 +8,10 @@
 
 use gullspar_lab::{FaultChange, RequestOutcome, TargetFault, Workload, WorkloadSettings};
 use gullspar_model::DataCentre;
-use support::{LabUnderTest, assert_sound, run, writers};
+use support::{LabUnderTest, assert_consistent, run, writers};
 use test_case::test_case;
 
-/// Writers whose every write is read back at another instance.
+/// Writers that read each write back at another instance.
 fn workload(lab: &LabUnderTest) -> WorkloadSettings {
     WorkloadSettings { read_back: true, carry_token: true, ..writers(lab) }
 }
@@ -20,11 +20,8 @@
     lab.lab.faults.apply(FaultChange::Target { target: target.to_owned(), fault });
 }
 
-/// Symptom: writes stop, or acknowledged ones vanish, when a primary fails.
-/// Events: callers write; the primary stops, hangs or loses its data centre's links; another is
-/// promoted; the old one comes back with writes that nobody acknowledged.
-/// Cause to guard against: acknowledging before a majority holds a write, or promoting a member that
-/// lacks one.
+/// Guards against acknowledging a write before a majority holds it, and against promoting a member that
+/// lacks an acknowledged write. The old primary returns with unacknowledged writes.
 #[test_case("stopped")]
 #[test_case("hung")]
 #[test_case("cut off")]
@@ -49,14 +46,13 @@
     }
     std::thread::sleep(Duration::from_millis(1200));
     let history = load.stop();
-    assert_sound(&lab, &history);
+    assert_consistent(&lab, &history);
 }
 
-/// Symptom: an acknowledged write vanishes although one failover went well.
-/// Events: the second primary fails while the first one is only just coming back.
-/// Cause to guard against: counting a member's old tail as part of the new term's log.
+/// The second primary fails while the first one is still rejoining. Guards against counting a member's
+/// diverged records as part of the new term's log.
 #[test]
-fn two_failovers_in_a_row_lose_nothing() {
+fn two_failovers_in_a_row_lose_no_acknowledged_write() {
     let lab = LabUnderTest::small();
     let load = Workload::start(workload(&lab));
     std::thread::sleep(Duration::from_millis(400));
@@ -71,16 +67,13 @@
     set(&lab, &second, TargetFault::None);
     std::thread::sleep(Duration::from_millis(800));
     let history = load.stop();
-    assert_sound(&lab, &history);
+    assert_consistent(&lab, &history);
 }
 
-/// Symptom: a healthy primary is deposed, or a write doubled, after an instance stood still.
-/// Events: an instance that holds the primary is paused for longer than any failure takes to be
-/// noticed, while others may act, and then goes on where it was.
-/// Cause to guard against: taking one's own pause for the others' silence, or acting on what was
-/// true before the pause.
+/// Each instance is paused for longer than failure detection takes. Guards against an instance that
+/// mistakes its own pause for silence of others, or acts on outdated state afterwards.
 #[test]
-fn an_instance_that_was_paused_does_no_harm_on_waking() {
+fn paused_instances_violate_no_guarantee() {
     let lab = LabUnderTest::small();
     let load = Workload::start(workload(&lab));
     std::thread::sleep(Duration::from_millis(400));
@@ -89,12 +82,11 @@
         std::thread::sleep(Duration::from_millis(1100));
     }
     let history = load.stop();
-    assert_sound(&lab, &history);
+    assert_consistent(&lab, &history);
 }
 
-/// Symptom: the primary changes although it answers.
-/// Events: replicas lag by 300 ms and the primary takes 100 ms longer for each statement.
-/// Cause to guard against: judging a member by its work instead of by its answers.
+/// Slow statements and replication lag must not count as failures of the primary, which still answers
+/// status checks.
 #[test]
 fn a_slow_primary_with_lagging_replicas_is_not_deposed() {
     let lab = LabUnderTest::small();
@@ -105,14 +97,13 @@
     std::thread::sleep(Duration::from_secs(4));
     let history = load.stop();
     assert_eq!(lab.primary(), before);
-    assert_sound(&lab, &history);
+    assert_consistent(&lab, &history);
 }
 
-/// Symptom: writes stop for as long as the platform is away.
-/// Events: the platform is out; callers go on writing and reading; then a primary fails as well, and
-/// only that failover waits for the platform.
+/// While the platform is unavailable, reads and writes must continue; only a failover waits until it is
+/// available again.
 #[test]
-fn a_platform_outage_stops_promotions_only() {
+fn a_platform_outage_delays_only_promotions() {
     let lab = LabUnderTest::small();
     lab.lab.faults.apply(FaultChange::PlatformOut { out: true });
     let load = Workload::start(workload(&lab));
@@ -125,15 +116,13 @@
     assert_eq!(lab.primary(), old);
     lab.lab.faults.apply(FaultChange::PlatformOut { out: false });
     lab.wait_for("new primary", || lab.primary() != old);
-    assert_sound(&lab, &history);
+    assert_consistent(&lab, &history);
 }
 
-/// Symptom: a term is claimed again and again, or by two at once.
-/// Events: the platform carries out the claim and the record of a promotion, and both answers are
-/// lost.
-/// Cause to guard against: taking a lost answer for a lost update.
+/// The platform carries out the claim and the record of a promotion, but both answers are lost. Guards
+/// against treating a lost answer as a failed update, which would claim further terms.
 #[test]
-fn a_promotion_survives_lost_answers_of_the_platform() {
+fn a_promotion_completes_when_platform_answers_are_lost() {
     let lab = LabUnderTest::small();
     let load = Workload::start(workload(&lab));
     std::thread::sleep(Duration::from_millis(300));
@@ -144,13 +133,11 @@
     set(&lab, &old, TargetFault::None);
     std::thread::sleep(Duration::from_millis(500));
     let history = load.stop();
-    assert_sound(&lab, &history);
+    assert_consistent(&lab, &history);
     assert_eq!(lab.term(), 2, "one failover takes one term");
 }
 
-/// Symptom: a booking lands twice after a failover.
-/// Events: callers mark their writes with keys; the primary stops while they write; gullspar itself
-/// repeats what ended unknown.
+/// Guards against a write that runs twice when an instance retries it after an unknown outcome.
 #[test]
 fn requests_with_a_key_run_at_most_once_through_a_failover() {
     let lab = LabUnderTest::small();
@@ -161,13 +148,15 @@
     lab.wait_for("new primary", || lab.primary() != old);
     std::thread::sleep(Duration::from_millis(800));
     let history = load.stop();
-    assert_sound(&lab, &history);
-    assert_eq!(history.count(RequestOutcome::Unknown), 0, "a key lets every outcome be known");
+    assert_consistent(&lab, &history);
+    assert_eq!(
+        history.count(RequestOutcome::Unknown),
+        0,
+        "every write with a key has a known outcome"
+    );
 }
 
-/// Symptom: nobody leads a group after the instance that was promoting died.
-/// Events: the primary stops; a claim is found on the platform that nobody will finish.
-/// Cause to guard against: waiting for a claimant that is gone.
+/// Guards against a group that stays leaderless because the holder of the current claim has died.
 #[test]
 fn an_abandoned_claim_is_taken_over() {
     let lab = LabUnderTest::small();
@@ -179,14 +168,13 @@
     lab.lab.store.put(key, object.version, object.value).unwrap();
     set(&lab, &old, TargetFault::Stopped);
     lab.wait_for("new primary", || lab.primary() != old);
-    assert_eq!(lab.term(), 3, "the abandoned term is passed over");
+    assert_eq!(lab.term(), 3, "the abandoned term is skipped");
 }
 
-/// Symptom: a member that leaves goes on getting work.
-/// Events: the primary is configured to leave; a replica that has all of its log takes over; nothing
-/// that callers were told changes.
+/// When the primary is configured to leave, a replica with its whole log must take over without failed
+/// writes, and the old primary must get no more statements.
 #[test]
-fn a_leaving_primary_hands_over_without_a_failed_write() {
+fn a_leaving_primary_is_replaced_without_a_failed_write() {
     let lab = LabUnderTest::small();
     let load = Workload::start(workload(&lab));
     std::thread::sleep(Duration::from_millis(400));
@@ -203,28 +191,26 @@
     std::thread::sleep(Duration::from_millis(500));
     let before = lab.statements(&old);
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(lab.statements(&old), before, "a member that has left gets no work");
+    assert_eq!(lab.statements(&old), before, "a member that has left gets no statements");
     let history = load.stop();
-    assert_sound(&lab, &history);
+    assert_consistent(&lab, &history);
     assert_eq!(history.count(RequestOutcome::Unknown), 0);
 }
 
-fn place(lab: &LabUnderTest, target: &str) -> DataCentre {
+fn data_centre_of(lab: &LabUnderTest, target: &str) -> DataCentre {
     let found = lab.lab.targets("core").find(|it| target.ends_with(it.member.as_str()));
     found.unwrap().data_centre.clone()
 }
 
-/// Symptom: a primary that most instances reach is deposed.
-/// Events: the link between the primary's data centre and one replica's breaks, in one case for good, in
-/// the other on and off; the third data centre reaches both.
-/// Cause to guard against: one instance's broken link counting as everybody's.
-#[test_case(false; "broken for good")]
+/// The link between the primary's data centre and one replica's is cut, permanently or repeatedly, while
+/// the third data centre reaches both. Guards against deposing a primary that most instances reach.
+#[test_case(false; "permanently cut")]
 #[test_case(true; "flapping")]
-fn a_link_broken_on_one_side_deposes_nobody(flapping: bool) {
+fn a_cut_link_to_one_replica_does_not_depose_the_primary(flapping: bool) {
     let lab = LabUnderTest::small();
     let primary = lab.primary();
     let replica = ["core/m1", "core/m2", "core/m3"].into_iter().find(|it| *it != primary).unwrap();
-    let (between, and) = (place(&lab, &primary), place(&lab, replica));
+    let (between, and) = (data_centre_of(&lab, &primary), data_centre_of(&lab, replica));
     let before = lab.term();
     let load = Workload::start(writers(&lab));
     for turn in 0..12 {
@@ -236,16 +222,15 @@
     lab.lab.faults.apply(FaultChange::Cut { between, and, cut: false });
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!(lab.term(), before);
-    assert_sound(&lab, &load.stop());
+    assert_consistent(&lab, &load.stop());
 }
 
-/// Symptom: callers in a cut-off data centre get nothing, or data older than they accept.
-/// Events: a replica's data centre is cut off from all others and from the platform; callers there read
-/// and write.
+/// Callers in a partitioned data centre must get reads from its replica, but no data older than they
+/// accept and no writes.
 #[test]
-fn a_cut_off_data_centre_serves_reads_up_to_their_age_and_refuses_writes() {
+fn a_partitioned_data_centre_serves_reads_within_their_age_and_refuses_writes() {
     let lab = LabUnderTest::small();
-    let primary = place(&lab, &lab.primary());
+    let primary = data_centre_of(&lab, &lab.primary());
     let index =
         lab.lab.instances.iter().position(|it| it.addresses.data_centre != primary).unwrap();
     let data_centre = lab.lab.instances[index].addresses.data_centre.clone();
@@ -262,7 +247,7 @@
         assert_eq!(tolerant.query(read).await.unwrap().outcome(), RequestOutcome::Done);
         let refused = strict.query("INSERT INTO ledger VALUES ('x')").await.unwrap();
         assert_eq!(refused.outcome(), RequestOutcome::NotRun);
-        // By now the data may be older than the two seconds that the tolerant class accepts.
+        // By now the data may be older than the 2 s that the tolerant class accepts.
         compio::time::sleep(Duration::from_millis(800)).await;
         assert_eq!(tolerant.query(read).await.unwrap().outcome(), RequestOutcome::NotRun);
         assert_eq!(any.query(read).await.unwrap().outcome(), RequestOutcome::Done);
@@ -273,46 +258,42 @@
     });
 }
 
-/// Symptom: a caller that accepts any age waits out its deadline and is refused, although a replica at
-/// hand could answer.
-/// Events: the replica at hand was slow for a while, so that reads went to another data centre's. Then
-/// their own data centre is cut off and forgets the instances beyond the cut; of those that are left one
-/// becomes the home of the replica out of reach, and a read is sent to that one first.
-/// Cause: the home dialled the replica, which it had not heard for seconds, for as long as the caller had
-/// time, and left none for the replica at hand.
+/// In a partitioned data centre the remaining instance becomes home of replicas that it can't reach.
+/// Guards against a read that uses up its deadline dialling such a replica instead of using the
+/// local one.
 #[test]
-fn a_read_does_not_wait_for_a_replica_that_its_home_no_longer_hears() {
-    // With one instance in each data centre, the one that is left is home of everything.
+fn a_read_does_not_wait_for_an_unreachable_replica() {
+    // With one instance in each data centre, the remaining one becomes home of all targets.
     let lab = LabUnderTest::with(|settings| settings.instances.truncate(3));
-    let primary = place(&lab, &lab.primary());
+    let primary = data_centre_of(&lab, &lab.primary());
     let index =
         lab.lab.instances.iter().position(|it| it.addresses.data_centre != primary).unwrap();
     let data_centre = lab.lab.instances[index].addresses.data_centre.clone();
     let members = ["core/m1", "core/m2", "core/m3"];
-    let near = members.into_iter().find(|it| place(&lab, it) == data_centre).unwrap();
+    let local_replica =
+        members.into_iter().find(|it| data_centre_of(&lab, it) == data_centre).unwrap();
     run(async {
         let mut any = lab.connect(index, "any").await;
         let read = "SELECT id FROM doors";
-        set(&lab, near, TargetFault::Slow(100));
+        set(&lab, local_replica, TargetFault::Slow(100));
         for _ in 0..10 {
             assert_eq!(any.query(read).await.unwrap().outcome(), RequestOutcome::Done);
         }
-        set(&lab, near, TargetFault::None);
+        set(&lab, local_replica, TargetFault::None);
         lab.lab.faults.apply(FaultChange::Isolate { data_centre: data_centre.clone(), cut: true });
-        // Longer than an instance that is not heard of is remembered.
+        // Longer than silent instances stay in the member table.
         compio::time::sleep(Duration::from_millis(3000)).await;
-        let asked = Instant::now();
+        let started = Instant::now();
         let answer = any.query(read).await.unwrap();
-        let took = asked.elapsed();
-        assert_eq!(answer.outcome(), RequestOutcome::Done, "{:?} after {took:?}", answer.error);
-        assert!(took < Duration::from_millis(1000), "answered after {took:?}");
+        let elapsed = started.elapsed();
+        assert_eq!(answer.outcome(), RequestOutcome::Done, "{:?} after {elapsed:?}", answer.error);
+        assert!(elapsed < Duration::from_millis(1000), "answered after {elapsed:?}");
     });
 }
 
-/// Symptom: a replica that leaves goes on getting reads.
-/// Events: it is configured to leave while tolerant callers read all the time.
+/// Guards against sending reads to a replica after it was configured to leave.
 #[test]
-fn a_leaving_replica_gets_no_new_work() {
+fn a_leaving_replica_gets_no_new_reads() {
     let lab = LabUnderTest::small();
     let primary = lab.primary();
     let replica = ["core/m1", "core/m2", "core/m3"].into_iter().find(|it| *it != primary).unwrap();
@@ -338,14 +319,12 @@
     assert_eq!(lab.statements(replica), before);
 }
 
-/// Symptom: callers read data from a time before a failover, of any age, and are told it is fresh.
-/// Events: the primary's data centre is cut off and another primary is promoted elsewhere; callers in the
-/// cut-off data centre, whose home still sees the old primary lead, read with a stated age.
-/// Cause to guard against: taking a primary's data for fresh because it is the primary's.
+/// The primary's data centre is partitioned and another primary is promoted. Callers there must not get
+/// data from the superseded primary that is older than the maximum age of their class.
 #[test]
-fn a_superseded_primary_serves_no_reads_beyond_their_age() {
+fn a_superseded_primary_serves_no_reads_beyond_their_maximum_age() {
     let lab = LabUnderTest::small();
-    let data_centre = place(&lab, &lab.primary());
+    let data_centre = data_centre_of(&lab, &lab.primary());
     let index = lab.lab.instances.iter().position(|it| it.addresses.data_centre == data_centre);
     run(async {
         let mut tolerant = lab.connect(index.unwrap(), "tolerant").await;
--- a/crates/gullspar_lab/tests/golden.rs
+++ b/crates/gullspar_lab/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions: what callers send and what they are told, message by message.
+//! Snapshots of whole sessions: each statement and the answer that the caller receives.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -7,27 +7,27 @@
 use gullspar_lab::{Answer, Client, FaultChange, TargetFault};
 use support::{LabUnderTest, run};
 
-/// A session as text; tokens are cut, since they are signed anew in each lab.
+/// A session as text. The signatures of tokens are left out, since they differ between runs.
 #[derive(Default)]
 struct Transcript {
     text: String,
 }
 
 impl Transcript {
-    async fn say(&mut self, client: &mut Client, sql: &str) {
+    async fn record(&mut self, client: &mut Client, sql: &str) {
         let answer = client.query(sql).await.unwrap();
-        self.text.push_str(&format!("> {sql}\n{}", describe(&answer)));
+        self.text.push_str(&format!("> {sql}\n{}", format_answer(&answer)));
         let token = client.token.as_deref().unwrap_or("none");
         let point = token.rsplit_once(':').map_or(token, |(point, _)| point);
         self.text.push_str(&format!("  [{} token {point}]\n", answer.status as char));
     }
 
-    fn note(&mut self, text: &str) {
+    fn comment(&mut self, text: &str) {
         self.text.push_str(&format!("-- {text}\n"));
     }
 }
 
-fn describe(answer: &Answer) -> String {
+fn format_answer(answer: &Answer) -> String {
     let mut text = String::new();
     for row in &answer.rows {
         let columns: Vec<&str> = row.iter().map(|it| it.as_deref().unwrap_or("null")).collect();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_coordinators_morning() {
+fn statements_of_one_session() {
     let lab = LabUnderTest::small();
     let mut transcript = Transcript::default();
     run(async {
@@ -67,11 +67,11 @@
             "SHOW gullspar.max_age_ms",
             "COPY ledger TO STDOUT",
         ] {
-            transcript.say(&mut client, sql).await;
+            transcript.record(&mut client, sql).await;
         }
-        transcript.note("at another instance, without the token");
+        transcript.comment("at another instance, without the token");
         let mut other = lab.connect(1, "strict").await;
-        transcript.say(&mut other, "SELECT id FROM ledger ORDER BY id").await;
+        transcript.record(&mut other, "SELECT id FROM ledger ORDER BY id").await;
     });
     insta::assert_snapshot!(transcript.text);
 }
@@ -82,17 +82,17 @@
     let mut transcript = Transcript::default();
     run(async {
         let mut client = lab.connect(0, "strict").await;
-        transcript.say(&mut client, "INSERT INTO ledger VALUES ('before')").await;
-        transcript.say(&mut client, "BEGIN").await;
-        transcript.say(&mut client, "INSERT INTO ledger VALUES ('lost')").await;
-        transcript.note("the primary stops");
+        transcript.record(&mut client, "INSERT INTO ledger VALUES ('before')").await;
+        transcript.record(&mut client, "BEGIN").await;
+        transcript.record(&mut client, "INSERT INTO ledger VALUES ('lost')").await;
+        transcript.comment("the primary stops");
         let target = lab.primary();
         lab.lab.faults.apply(FaultChange::Target { target, fault: TargetFault::Stopped });
-        compio::time::sleep(support::FAULT_SETTLES).await;
-        transcript.say(&mut client, "INSERT INTO ledger VALUES ('lost too')").await;
-        transcript.say(&mut client, "COMMIT").await;
-        transcript.say(&mut client, "INSERT INTO ledger VALUES ('after')").await;
-        transcript.say(&mut client, "SELECT id FROM ledger ORDER BY id").await;
+        compio::time::sleep(support::FAULT_DELAY).await;
+        transcript.record(&mut client, "INSERT INTO ledger VALUES ('lost too')").await;
+        transcript.record(&mut client, "COMMIT").await;
+        transcript.record(&mut client, "INSERT INTO ledger VALUES ('after')").await;
+        transcript.record(&mut client, "SELECT id FROM ledger ORDER BY id").await;
     });
     insta::assert_snapshot!(transcript.text);
 }
--- a/crates/gullspar_lab/tests/guards.rs
+++ b/crates/gullspar_lab/tests/guards.rs
@@ -1,6 +1,5 @@
-//! Each guard is taken away in turn, and a check must notice; with the guard in place it must not.
-//!
-//! The same scenarios run in both ways, so that none of them is a check that cannot fail.
+//! Runs scenarios with and without a guard: the violation must occur only when the guard is off. This
+//! proves that each check can fail.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -16,22 +15,22 @@
 use support::{LabUnderTest, run, writers};
 use test_case::test_case;
 
-/// Guards are switched for the whole process, so scenarios run one after the other.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+/// Guards are switched off for the whole process, so scenarios must not run in parallel.
+static SERIAL: Mutex<()> = Mutex::new(());
 
 #[test_case(Guard::MajorityHolds, acknowledged_writes_are_lost; "a majority holds what is acknowledged")]
-#[test_case(Guard::LongestLog, acknowledged_writes_are_lost_to_a_short_log; "the longest log is promoted")]
+#[test_case(Guard::LongestLog, acknowledged_writes_are_lost_with_a_short_log; "the longest log is promoted")]
 #[test_case(Guard::Floor, own_writes_are_missed_with_a_token; "reads wait for their floor")]
 #[test_case(Guard::Anchor, own_writes_are_missed_without_a_token; "a roaming session is anchored")]
 #[test_case(Guard::RequestKey, a_request_runs_twice; "a request key is looked up")]
 #[test_case(Guard::FreshCall, a_healthy_primary_is_deposed; "a fresh call must fail")]
-#[test_case(Guard::UpwardOnly, old_configuration_comes_back; "configuration is applied upward only")]
-#[test_case(Guard::TokenSignature, a_token_of_another_is_taken; "a token is bound to its caller")]
-fn a_check_notices_when_a_guard_is_missing(guard: Guard, breaks: fn() -> bool) {
-    let _turn = ONE_AT_A_TIME.lock().unwrap_or_else(|it| it.into_inner());
-    assert!(!breaks(), "broken although {guard:?} is in place");
-    let _off = guard.switch_off();
-    assert!(breaks(), "nothing noticed that {guard:?} is missing");
+#[test_case(Guard::UpwardOnly, old_configuration_is_applied; "configuration is applied upward only")]
+#[test_case(Guard::TokenSignature, a_token_of_another_caller_is_accepted; "a token is bound to its caller")]
+fn a_violation_occurs_only_without_its_guard(guard: Guard, is_violated: fn() -> bool) {
+    let _serial = SERIAL.lock().unwrap_or_else(|it| it.into_inner());
+    assert!(!is_violated(), "violation although {guard:?} is on");
+    let _switched_off = guard.switch_off();
+    assert!(is_violated(), "no violation although {guard:?} is off");
 }
 
 fn load(lab: &LabUnderTest, read_back: bool, carry_token: bool) -> Workload {
@@ -58,7 +57,7 @@
     loses_acknowledged_writes(&lab, &writes.stop())
 }
 
-fn acknowledged_writes_are_lost_to_a_short_log() -> bool {
+fn acknowledged_writes_are_lost_with_a_short_log() -> bool {
     let lab = LabUnderTest::small();
     let old = lab.primary();
     let behind = ["core/m1", "core/m2", "core/m3"].into_iter().find(|it| *it != old).unwrap();
@@ -66,7 +65,7 @@
     std::thread::sleep(Duration::from_millis(300));
     set(&lab, behind, TargetFault::Stopped);
     std::thread::sleep(Duration::from_millis(500));
-    // The primary goes first, so that the one behind can't catch up.
+    // The primary stops first, so that the member behind can't catch up.
     set(&lab, &old, TargetFault::Stopped);
     set(&lab, behind, TargetFault::None);
     lab.wait_for("new primary", || lab.primary() != old);
@@ -82,18 +81,18 @@
     misses_own_writes(false)
 }
 
-/// One replica answers each write at once, the other lags, and reads go to both.
+/// One replica confirms writes at once, the other is cut off from the primary, and reads go to both.
 fn misses_own_writes(carry_token: bool) -> bool {
     let lab = LabUnderTest::small();
     let primary = lab.primary();
     let behind = ["core/m1", "core/m2", "core/m3"].into_iter().find(|it| *it != primary).unwrap();
-    let place = |target: &str| {
+    let data_centre_of = |target: &str| {
         let member = target.trim_start_matches("core/");
         let found = lab.lab.targets("core").find(|it| it.member.as_str() == member).unwrap();
         found.data_centre.clone()
     };
-    // Cut off from the primary alone, the replica keeps serving reads of what it has.
-    let (between, and) = (place(&primary), place(behind));
+    // A replica that is cut off only from the primary keeps serving reads of its old data.
+    let (between, and) = (data_centre_of(&primary), data_centre_of(behind));
     lab.lab.faults.apply(FaultChange::Cut { between, and, cut: true });
     let load = load(&lab, true, carry_token);
     std::thread::sleep(Duration::from_millis(1500));
@@ -114,8 +113,9 @@
 fn a_healthy_primary_is_deposed() -> bool {
     let lab = LabUnderTest::small();
     let primary = lab.primary();
-    let away = lab.lab.targets("core").find(|it| !primary.ends_with(it.member.as_str())).unwrap();
-    let data_centre = away.data_centre.clone();
+    let isolated =
+        lab.lab.targets("core").find(|it| !primary.ends_with(it.member.as_str())).unwrap();
+    let data_centre = isolated.data_centre.clone();
     let before = lab.term();
     for _ in 0..6 {
         for cut in [true, false] {
@@ -130,7 +130,7 @@
     false
 }
 
-fn old_configuration_comes_back() -> bool {
+fn old_configuration_is_applied() -> bool {
     let store = ConfigStore::default();
     let entry = |version| ConfigEntry {
         key: "gullspar/groups/core".to_owned(),
@@ -142,7 +142,7 @@
     store.version("gullspar/groups/core") == ObjectVersion(1)
 }
 
-fn a_token_of_another_is_taken() -> bool {
+fn a_token_of_another_caller_is_accepted() -> bool {
     let key = TokenKey::new("secret");
     let token = Token { group: "core".into(), point: LogPoint::new(1, 2) };
     let sealed = key.issue(&token, &CallerName::new("one"));
--- a/crates/gullspar_lab/tests/instances.rs
+++ b/crates/gullspar_lab/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Instances that die, leave and move, and what their callers see of it.
+//! Shutdown, death and restart of instances, as seen by callers.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -8,13 +8,11 @@
 
 use gullspar_instance::InstanceTiming;
 use gullspar_lab::{RequestOutcome, Workload};
-use support::{LabUnderTest, assert_sound, run, writers};
+use support::{LabUnderTest, assert_consistent, run, writers};
 
-/// Symptom: a shutdown cuts off requests in flight.
-/// Events: callers write without pause; each instance in turn is shut down in good order and started
-/// again.
+/// Guards against a graceful shutdown that aborts requests in flight.
 #[test]
-fn a_graceful_shutdown_cuts_off_no_request() {
+fn a_graceful_shutdown_aborts_no_request() {
     let mut lab = LabUnderTest::small();
     let load = Workload::start(writers(&lab));
     std::thread::sleep(Duration::from_millis(300));
@@ -25,14 +23,13 @@
         std::thread::sleep(Duration::from_millis(700));
     }
     let history = load.stop();
-    assert_sound(&lab, &history);
+    assert_consistent(&lab, &history);
     assert_eq!(history.count(RequestOutcome::Unknown), 0);
 }
 
-/// Symptom: half a transaction stays, or its locks do, after an instance dies in the middle of it.
-/// Events: a caller opens a transaction and writes; the instance that serves it dies; others write.
+/// When an instance dies during a transaction, neither its writes nor its locks may remain.
 #[test]
-fn a_transaction_dies_with_its_instance_and_blocks_nobody() {
+fn a_transaction_of_a_killed_instance_is_rolled_back() {
     let mut lab = LabUnderTest::small();
     run(async {
         let mut client = lab.connect(1, "strict").await;
@@ -48,10 +45,10 @@
     });
 }
 
-/// Symptom: writes stop after the instance that holds the primary's connections has died.
-/// Events: callers write at all instances; they are killed one after the other and started again.
+/// After an instance is killed, the targets whose connections it held must soon get another home, within
+/// their connection limits and without lost writes.
 #[test]
-fn killed_instances_lose_nothing_and_their_targets_find_another_home() {
+fn targets_of_killed_instances_get_another_home() {
     let mut lab = LabUnderTest::small();
     let load = Workload::start(writers(&lab));
     for index in 0..lab.lab.instances.len() {
@@ -64,20 +61,18 @@
     let to = Instant::now();
     std::thread::sleep(Duration::from_millis(100));
     let history = load.stop();
-    assert_sound(&lab, &history);
+    assert_consistent(&lab, &history);
     let gap = history.longest_gap(to - Duration::from_secs(9), to);
-    assert!(gap < Duration::from_secs(3), "writes stood still for {gap:?}");
+    assert!(gap < Duration::from_secs(3), "no write was done for {gap:?}");
     for (target, counts) in &lab.lab.counts {
         let peak = counts.peak_connections.load(std::sync::atomic::Ordering::Relaxed);
         assert!(peak <= 30, "{target} had {peak} connections");
     }
 }
 
-/// Symptom: a cancel request stops another caller's statement.
-/// Events: one caller's statement is slow; a cancel request with its number but a wrong secret, and
-/// one of another caller's, arrive at other instances.
+/// A cancel request with a wrong process or secret must not stop a caller's statement.
 #[test]
-fn a_cancel_request_needs_its_own_callers_secret() {
+fn a_cancel_request_needs_the_secret_of_its_session() {
     let lab = LabUnderTest::small();
     run(async {
         let mut client = lab.connect(0, "strict").await;
@@ -92,9 +87,7 @@
     });
 }
 
-/// Symptom: two callers' answers are mixed on shared connections.
-/// Events: many callers read different rows at the same time through few connections, by pooled
-/// lanes, while transactions are opened and given up.
+/// Guards against mixed-up answers when many callers share few connections to a target.
 #[test]
 fn each_caller_gets_the_answer_to_its_own_request() {
     let lab = LabUnderTest::with(|settings| settings.services[0].connections = 8);
@@ -122,17 +115,16 @@
     });
 }
 
-/// Symptom: instances remember every one that ever ran, and go on calling those that left.
-/// Events: an instance shuts down in good order, another is killed; time passes.
+/// Instances that left or died must be removed from the member table and stay removed.
 #[test]
-fn the_dead_are_forgotten() {
+fn dead_and_left_instances_are_removed() {
     let mut timing = InstanceTiming::default();
     timing.fleet.forget_dead_after = Duration::from_millis(500);
     let mut lab = LabUnderTest::with_timing(timing, |_| {});
     lab.lab.instances[3].shut_down();
     lab.lab.instances[2].kill();
     let address = lab.lab.instances[0].addresses.operator;
-    let known = || {
+    let instance_count = || {
         run(async {
             let client = cyper::Client::new().unwrap();
             let request = client.get(format!("http://{address}/v1/status")).unwrap();
@@ -141,8 +133,8 @@
             status["instances"].as_array().unwrap().len()
         })
     };
-    lab.wait_for("fleet of two", || known() == 2);
-    // What the others still tell of them must not bring them back.
+    lab.wait_for("fleet of two", || instance_count() == 2);
+    // Gossip that still names them must not add them again.
     std::thread::sleep(Duration::from_millis(1500));
-    assert_eq!(known(), 2);
+    assert_eq!(instance_count(), 2);
 }
--- a/crates/gullspar_lab/tests/operators.rs
+++ b/crates/gullspar_lab/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' intents: plans, races, lost answers, and configuration in force everywhere.
+//! Operators' intents: plans, concurrent changes, lost answers and rollout of configuration.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -39,7 +39,7 @@
     serde_json::from_str(&response.text().await.unwrap()).unwrap()
 }
 
-/// Waits until every instance that runs has `version` of the service in force.
+/// Waits until `version` of the service is in force on every running instance; returns the time taken.
 async fn wait_in_force(lab: &LabUnderTest, version: u64, within: Duration) -> Duration {
     let started = Instant::now();
     loop {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn nothing_changes_before_a_plan_is_confirmed_and_then_it_is_in_force_everywhere() {
+fn a_plan_takes_effect_on_all_instances_only_once_confirmed() {
     let lab = LabUnderTest::small();
     run(async {
         wait_in_force(&lab, 1, Duration::from_secs(5)).await;
@@ -64,17 +64,16 @@
         assert_eq!(plan.body["changes"][0]["place"], "classes.strict.deadline_ms");
         compio::time::sleep(Duration::from_millis(300)).await;
         wait_in_force(&lab, 1, Duration::from_millis(500)).await;
-        // Another instance carries it out.
+        // A plan can be confirmed at another instance.
         let confirmed = post(operator(&lab, 2), "/v1/confirm", &plan.body).await;
         assert_eq!((confirmed.status, &confirmed.body["version"]), (200, &json!(2)));
         wait_in_force(&lab, 2, Duration::from_secs(2)).await;
     });
 }
 
-/// Symptom: one operator's change silently undoes another's.
-/// Events: two plan against the same version; one confirms; then the other does.
+/// Two operators plan against the same version. Guards against one change silently undoing the other.
 #[test]
-fn of_two_operators_one_wins_and_the_other_learns_what_moved() {
+fn a_conflicting_plan_is_refused_with_the_moved_settings() {
     let lab = LabUnderTest::small();
     run(async {
         let one = post(operator(&lab, 0), "/v1/plans", &deadline_intent(1111)).await;
@@ -89,10 +88,10 @@
     });
 }
 
-/// Symptom: an operator confirms again, and the change is made twice or reported as a conflict.
-/// Events: the update takes effect, its answer is lost; the plan is confirmed once more.
+/// The update takes effect, but its answer is lost. Confirming again must neither repeat the change nor
+/// report a conflict.
 #[test]
-fn a_lost_answer_on_confirm_is_found_out_and_confirming_again_is_harmless() {
+fn confirming_a_plan_again_after_a_lost_answer_is_idempotent() {
     let lab = LabUnderTest::small();
     run(async {
         let plan = post(operator(&lab, 0), "/v1/plans", &deadline_intent(1111)).await;
@@ -105,7 +104,7 @@
 }
 
 #[test]
-fn a_plan_altered_by_hand_is_refused() {
+fn a_modified_plan_is_refused() {
     let lab = LabUnderTest::small();
     run(async {
         let mut plan = post(operator(&lab, 0), "/v1/plans", &deadline_intent(1111)).await.body;
@@ -115,7 +114,7 @@
 }
 
 #[test]
-fn an_intent_that_can_not_be_is_refused_with_all_its_findings() {
+fn an_invalid_intent_is_refused_with_all_findings() {
     let lab = LabUnderTest::small();
     run(async {
         let intent = json!({"intent": "set_limits", "service": "tours", "member": "m1",
@@ -131,17 +130,16 @@
     });
 }
 
-/// Symptom: an instance that starts during a platform outage serves nobody.
-/// Events: the platform is out; an instance joins; its callers read.
+/// An instance that starts during a platform outage must get its configuration from its peers.
 #[test]
-fn an_instance_started_without_the_platform_gets_its_configuration_from_others() {
+fn an_instance_started_without_the_platform_gets_its_configuration_from_peers() {
     let mut lab = LabUnderTest::small();
     run(async {
         wait_in_force(&lab, 1, Duration::from_secs(5)).await;
     });
     lab.lab.faults.apply(FaultChange::PlatformOut { out: true });
-    let newcomer = LabInstanceSettings { id: "i9".into(), data_centre: "b".into() };
-    lab.lab.add_instance(&newcomer).unwrap();
+    let new_instance = LabInstanceSettings { id: "i9".into(), data_centre: "b".into() };
+    lab.lab.add_instance(&new_instance).unwrap();
     run(async {
         let mut client = lab.connect(4, "strict").await;
         let written = client.query("INSERT INTO ledger VALUES ('x')").await.unwrap();
@@ -150,7 +148,7 @@
 }
 
 #[test]
-fn prometheus_reads_the_metrics() {
+fn metrics_are_served_in_the_prometheus_format() {
     let lab = LabUnderTest::small();
     run(async {
         let mut client = lab.connect(0, "any").await;
--- a/crates/gullspar_lab/tests/promotion_steps.rs
+++ b/crates/gullspar_lab/tests/promotion_steps.rs
@@ -1,4 +1,4 @@
-//! The instance that promotes stands still after each step, and goes on where it was.
+//! Pauses the failover coordinator after each step of a promotion.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -9,23 +9,20 @@
 
 use gullspar_lab::{FaultChange, TargetFault, Workload};
 use gullspar_model::switches::pause_promotion_after;
-use support::{LabUnderTest, assert_sound, writers};
+use support::{LabUnderTest, assert_consistent, writers};
 use test_case::test_case;
 
-/// The pause is set for the whole process, so the cases run one after the other.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+/// The pause is set for the whole process, so the cases must not run in parallel.
+static SERIAL: Mutex<()> = Mutex::new(());
 
-/// Symptom: two primaries acknowledge, or none is found, after the instance that was promoting was
-/// paused.
-/// Events: the primary stops; the promoting instance stands still for 2.5 s after the given step while
-/// the others may act; it wakes and carries on with what it knew.
-/// Cause to guard against: a step that trusts what was true before the pause.
+/// The coordinator is paused for 2.5 s while other instances may act. Guards against a step that relies
+/// on state from before the pause, which could lead to two primaries or none.
 #[test_case(0; "after its claim")]
 #[test_case(1; "after fencing")]
 #[test_case(2; "after the promotion")]
 #[test_case(3; "after recording it")]
-fn a_promoter_that_stands_still_does_no_harm(step: u32) {
-    let _turn = ONE_AT_A_TIME.lock().unwrap_or_else(|it| it.into_inner());
+fn a_paused_failover_coordinator_violates_no_guarantee(step: u32) {
+    let _serial = SERIAL.lock().unwrap_or_else(|it| it.into_inner());
     let lab = LabUnderTest::small();
     let load = Workload::start(writers(&lab));
     std::thread::sleep(Duration::from_millis(400));
@@ -37,5 +34,5 @@
     std::thread::sleep(Duration::from_millis(3500));
     set(TargetFault::None);
     std::thread::sleep(Duration::from_millis(1000));
-    assert_sound(&lab, &load.stop());
+    assert_consistent(&lab, &load.stop());
 }
--- a/crates/gullspar_lab/tests/support/mod.rs
+++ b/crates/gullspar_lab/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small lab and callers of it, for tests.
+//! A small lab and its callers, for tests.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
@@ -10,11 +10,11 @@
 use gullspar_instance::InstanceTiming;
 use gullspar_lab::{Client, History, Lab, LabSettings, RequestOutcome, WorkloadSettings};
 
-/// How long anything in a test may take before the test is called failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for any condition before it fails.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long the stand-ins may take to notice a fault.
-pub const FAULT_SETTLES: Duration = Duration::from_millis(50);
+/// Time after which an injected fault has taken effect.
+pub const FAULT_DELAY: Duration = Duration::from_millis(50);
 
 /// A running lab with one service, `tours`, in front of one group, `core`.
 pub struct LabUnderTest {
@@ -22,17 +22,17 @@
 }
 
 impl LabUnderTest {
-    /// The lab of `resources/small.jsonc`, once its group is led.
+    /// Starts the lab of `resources/small.jsonc` and waits until its group has a primary.
     pub fn small() -> LabUnderTest {
         LabUnderTest::with(|_| {})
     }
 
-    /// The same with changed settings.
+    /// Like `small`, with changed settings.
     pub fn with(change: impl FnOnce(&mut LabSettings)) -> LabUnderTest {
         LabUnderTest::with_timing(InstanceTiming::default(), change)
     }
 
-    /// The same at another pace.
+    /// Like `with`, with the given timing.
     pub fn with_timing(
         timing: InstanceTiming,
         change: impl FnOnce(&mut LabSettings),
@@ -45,41 +45,41 @@
         lab
     }
 
-    /// Waits until `ready`, or fails naming `what`.
+    /// Waits until `ready` returns true; fails with a message that names `what` after the timeout.
     pub fn wait_for(&self, what: &str, mut ready: impl FnMut() -> bool) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !ready() {
-            assert!(Instant::now() < deadline, "there was no {what} in time");
+            assert!(Instant::now() < deadline, "timed out waiting for {what}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Where instance `index` takes callers.
+    /// The caller address of instance `index`.
     pub fn caller_address(&self, index: usize) -> SocketAddr {
         self.lab.instances[index].addresses.caller
     }
 
-    /// Where all instances take callers.
+    /// The caller addresses of all instances.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.lab.instances.iter().map(|it| it.addresses.caller).collect()
     }
 
-    /// A caller connected to instance `index`, once that one knows the service.
+    /// Connects a caller to instance `index`; retries until that instance knows the service.
     pub async fn connect(&self, index: usize, user: &str) -> Client {
         let address = self.caller_address(index);
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             match Client::connect(address, user, "tours", None).await {
                 Ok(client) => return client,
-                Err(err) if Instant::now() >= deadline => panic!("no connection: {err}"),
+                Err(err) if Instant::now() >= deadline => panic!("could not connect: {err}"),
                 Err(_) => compio::time::sleep(Duration::from_millis(20)).await,
             }
         }
     }
 
-    /// What the ledger holds, read as a strict caller.
+    /// The ids in the ledger, read by a strict caller.
     pub async fn ledger(&self) -> Vec<String> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             for index in 0..self.lab.instances.len() {
                 if !self.lab.instances[index].is_running() {
@@ -97,13 +97,13 @@
         }
     }
 
-    /// The term that the group is led in.
+    /// The current term of the group according to the platform.
     pub fn term(&self) -> u64 {
         let object = self.lab.store.get("gullspar/groups/core").unwrap();
         object.value["term"].as_u64().unwrap()
     }
 
-    /// Statements that a target has run.
+    /// The number of statements that a target has run.
     pub fn statements(&self, target: &str) -> u64 {
         self.lab.counts[target].statements.load(Ordering::Relaxed)
     }
@@ -129,14 +129,18 @@
     }
 }
 
-/// Checks what callers were told against the ledger, and that the run did something.
-pub fn assert_sound(lab: &LabUnderTest, history: &History) {
+/// Checks the recorded outcomes against the ledger, and that enough writes were done.
+pub fn assert_consistent(lab: &LabUnderTest, history: &History) {
     let violations = history.check(&run(lab.ledger()));
     assert!(violations.is_empty(), "{violations:?}");
-    assert!(history.count(RequestOutcome::Done) > 20, "too little ran: {}", history.writes.len());
+    assert!(
+        history.count(RequestOutcome::Done) > 20,
+        "too few writes done: {} attempted",
+        history.writes.len()
+    );
 }
 
-/// Runs a future on a runtime of its own.
+/// Runs a future on a new runtime.
 pub fn run<T>(fut: impl Future<Output = T>) -> T {
     compio::runtime::Runtime::new().unwrap().block_on(fut)
 }
--- a/crates/gullspar_lab/tests/whole_path.rs
+++ b/crates/gullspar_lab/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path, from a caller through instances to a stand-in group.
+//! End-to-end tests, from a caller through instances to a simulated group.
 
 mod support;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_token_carries_a_write_to_a_tolerant_reader() {
+fn a_token_makes_a_write_visible_to_a_tolerant_reader() {
     let lab = LabUnderTest::small();
     run(async {
         let mut writer = lab.connect(0, "tolerant").await;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_transaction_is_all_or_nothing_and_seen_by_nobody_before_its_commit() {
+fn a_transaction_is_atomic_and_invisible_before_its_commit() {
     let lab = LabUnderTest::small();
     run(async {
         let mut one = lab.connect(0, "strict").await;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_repeated_key_gives_the_first_answer_and_runs_once() {
+fn a_repeated_key_returns_the_first_answer_and_runs_once() {
     let lab = LabUnderTest::small();
     run(async {
         let sql = "/* gullspar key=job-1 */ INSERT INTO ledger VALUES ('x') RETURNING id";
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_set_statement_follows_the_session_and_nobody_else() {
+fn a_set_statement_is_accepted_and_the_session_continues() {
     let lab = LabUnderTest::small();
     run(async {
         let mut client = lab.connect(0, "strict").await;
@@ -109,11 +109,9 @@
     });
 }
 
-/// Symptom: a transaction fails at the statement after a SET, or the next caller inherits the setting.
-/// Events: a session changes a setting within a transaction and goes on.
-/// Cause: the connection was reset, within the transaction, to put the session's settings in force.
+/// Guards against resetting the connection within a transaction in order to apply a session's settings.
 #[test]
-fn a_setting_changed_within_a_transaction_does_not_end_it() {
+fn a_set_statement_does_not_end_its_transaction() {
     let lab = LabUnderTest::small();
     run(async {
         let mut client = lab.connect(0, "strict").await;
