--- a/crates/gullspar/tests/soak.rs
+++ b/crates/gullspar/tests/soak.rs
@@ -8,10 +8,10 @@
 use gullspar_soak::{SoakPlan, soak};
 use test_case::test_case;
 
-fn plan(seed: u64, faults_for: Duration) -> SoakPlan {
+fn plan(seed: u64, fault_period: Duration) -> SoakPlan {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
     let program = PathBuf::from(env!("CARGO_BIN_EXE_gullspar"));
-    SoakPlan { program, folder, seed, instances: 3, faults_for, customers: false }
+    SoakPlan { program, folder, seed, instances: 3, fault_period, customers: false }
 }
 
 /// Processes whose command line names a file in `folder`.
@@ -54,7 +54,7 @@
     let runtime = compio::runtime::Runtime::new().unwrap();
     let report = runtime.block_on(soak(&plan)).unwrap();
     assert_eq!(report.breaches, [], "{report:#?}");
-    assert!(report.done_after > 0, "nothing is served after the faults: {report:#?}");
+    assert!(report.done_after_faults > 0, "nothing is served after the faults: {report:#?}");
 }
 
 /// Guards against keys that are served under another customer's name, and against what a store that comes back from an
@@ -66,5 +66,5 @@
     let report = runtime.block_on(soak(&plan)).unwrap();
     assert_eq!(report.breaches, [], "{report:#?}");
     assert!(report.faults.iter().any(|it| it.contains("Drill")), "{report:#?}");
-    assert!(report.done_after > 0, "nothing is served after the faults: {report:#?}");
+    assert!(report.done_after_faults > 0, "nothing is served after the faults: {report:#?}");
 }
--- a/crates/gullsparctl/src/soak_command.rs
+++ b/crates/gullsparctl/src/soak_command.rs
@@ -19,7 +19,7 @@
             folder: path("folder").join(format!("seed-{seed}")),
             seed,
             instances: number("instances") as usize,
-            faults_for: Duration::from_secs(number("seconds")),
+            fault_period: Duration::from_secs(number("seconds")),
             customers: args.get_flag("customers"),
         };
         let runtime =
@@ -38,7 +38,7 @@
 
 /// Prints one line, and the faults and breaches of a seed that failed; `true` if it passed.
 fn tell(report: &Report) -> bool {
-    let passed = report.breaches.is_empty() && report.done_after > 0;
+    let passed = report.breaches.is_empty() && report.done_after_faults > 0;
     println!(
         "seed {}: {}; {} faults, {} written, {} not kept, {} unknown, {} lost as allowed, {} reads, \
          {} written afterwards",
@@ -48,9 +48,9 @@
         report.done,
         report.not_kept,
         report.unknown,
-        report.lost_alone,
+        report.allowed_losses,
         report.reads,
-        report.done_after,
+        report.done_after_faults,
     );
     if !passed {
         report.faults.iter().for_each(|it| println!("  {it}"));
