--- a/crates/gullspar_bench/benches/acknowledgement.rs
+++ b/crates/gullspar_bench/benches/acknowledgement.rs
@@ -1,4 +1,4 @@
-//! What waiting for a majority costs a write, against the primary's word alone.
+//! Latency of writes that wait for a majority, compared with an acknowledgement of the primary alone.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -17,33 +17,37 @@
         let primary = lab.primary(group);
         let target = lab.targets(group).find(|it| Some(&it.member) == primary.as_ref());
         let Some(target) = target else { return ExitCode::FAILURE };
-        let near = lab
+        let local_instances = lab
             .instances
             .iter()
             .filter(|it| it.addresses.data_centre == target.data_centre)
             .map(|it| it.addresses.caller)
             .collect();
         let direct = measure(vec![target.address], true, service.service.as_str());
-        let proxied = measure(near, false, service.service.as_str());
+        let proxied = measure(local_instances, false, service.service.as_str());
         println!(
             "{lag_ms:>6} {:>14.2} {:>16.2} {:>7.2} {:>22.0}",
-            direct.done.at(0.5),
-            proxied.done.at(0.5),
-            proxied.done.at(0.99),
+            direct.done.quantile_ms(0.5),
+            proxied.done.quantile_ms(0.5),
+            proxied.done.quantile_ms(0.99),
             proxied.rate()
         );
-        // One replica's lag, one way there for the log and back for the news, and the primary's word.
-        let floor = lag_ms as f64 + 1.0 + direct.done.at(0.5);
+        // The lag of one replica, the network round trip to it, and the acknowledgement of the primary.
+        let lower_bound = lag_ms as f64 + 1.0 + direct.done.quantile_ms(0.5);
         bounds.at_most(
             &format!("lag {lag_ms} ms: p50 against the least that the rule allows"),
-            proxied.done.at(0.5) / floor,
+            proxied.done.quantile_ms(0.5) / lower_bound,
             2.0,
         );
     }
     bounds.finish()
 }
 
-fn measure(addresses: Vec<std::net::SocketAddr>, bare: bool, service: &str) -> LoopResult {
+fn measure(
+    addresses: Vec<std::net::SocketAddr>,
+    without_password: bool,
+    service: &str,
+) -> LoopResult {
     ClosedLoop {
         addresses,
         user: "technician".to_owned(),
@@ -53,7 +57,7 @@
         warm_up: Duration::from_secs(1),
         measure: Duration::from_secs(3),
         pause: Duration::ZERO,
-        bare,
+        without_password,
     }
     .run()
 }
--- a/crates/gullspar_bench/benches/replica_share.rs
+++ b/crates/gullspar_bench/benches/replica_share.rs
@@ -1,12 +1,12 @@
-//! The share of reads that replicas serve under both deployments' mixes, with every read-back checked.
+//! The share of reads that replicas serve in the load mix of each deployment, with every read after a write checked.
 
 use std::process::ExitCode;
 use std::time::Duration;
 
-use gullspar_bench::{Bounds, ClosedLoop, Deployment, counts_of, status};
+use gullspar_bench::{Bounds, ClosedLoop, Deployment, class_counts, status};
 use gullspar_lab::{Lab, Workload, WorkloadSettings};
 
-/// A class of the mix: callers that read, and the pause between two reads.
+/// The reading callers of one class in the mix.
 struct Readers {
     user: &'static str,
     callers: usize,
@@ -40,25 +40,25 @@
     let lab = Deployment::start(deployment.settings());
     let service = lab.services()[0].service.to_string();
     let loops: Vec<_> = mix.iter().map(|readers| read(&lab, &service, readers, table)).collect();
-    // Writers roam without a token after each write, and their reads must see it all the same.
-    let roaming = write(&lab, &service, writer, false);
-    let carrying = write(&lab, &service, writer, true);
+    // Writers reconnect to another instance after a write. Their reads must see it, with or without a token.
+    let without_token = write(&lab, &service, writer, false);
+    let with_token = write(&lab, &service, writer, true);
     std::thread::sleep(Duration::from_secs(6));
-    let histories = [roaming.stop(), carrying.stop()];
+    let histories = [without_token.stop(), with_token.stop()];
     for running in loops {
         running.finish();
     }
     let Some(status) = status(&lab) else { return bounds.at_least("status", 0.0, 1.0) };
     for readers in mix {
-        let counts = counts_of(&status, readers.user);
+        let counts = class_counts(&status, readers.user);
         let reads = counts.replica_reads + counts.primary_reads;
         let share = counts.replica_reads as f64 / reads.max(1) as f64;
         println!(
             "{:<11} {:<11} {:>14} {:>14} {share:>6.3}",
             deployment.name, readers.user, counts.replica_reads, counts.primary_reads
         );
-        // The strict class anchors each roaming session at the primary first, so its share depends on
-        // how long sessions last; the others may always read from replicas.
+        // Sessions of the writers' class without a token read from the primary first, so their share depends on the
+        // length of sessions. The other classes may always read from replicas.
         if readers.user != writer {
             let what = format!("{} {}: share on replicas", deployment.name, readers.user);
             bounds.at_least(&what, share, 0.95);
@@ -81,7 +81,7 @@
         warm_up: Duration::from_millis(500),
         measure: Duration::from_secs(5),
         pause: Duration::from_millis(20),
-        bare: false,
+        without_password: false,
     }
     .start()
 }
--- a/crates/gullspar_bench/src/bounds.rs
+++ b/crates/gullspar_bench/src/bounds.rs
@@ -1,38 +1,41 @@
-//! Bounds that a bench must keep.
+//! Bounds on the results of a bench.
 
 use std::process::ExitCode;
 
-/// Collects what was out of bounds, so that one run reports everything.
+/// Checks results against bounds and collects all violations of a run.
 #[derive(Debug, Default)]
 pub struct Bounds {
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 impl Bounds {
-    /// Demands that `value` is at most `limit`.
+    /// Prints `value` and records a violation if it is over `limit`.
     pub fn at_most(&mut self, what: &str, value: f64, limit: f64) {
-        let kept = value <= limit;
-        println!("  {} {what}: {value:.3}, at most {limit}", if kept { "ok " } else { "BAD" });
-        if !kept {
-            self.broken.push(format!("{what}: {value:.3} is over {limit}"));
+        let is_within = value <= limit;
+        println!("  {} {what}: {value:.3}, at most {limit}", if is_within { "ok " } else { "BAD" });
+        if !is_within {
+            self.violations.push(format!("{what}: {value:.3} is over {limit}"));
         }
     }
 
-    /// Demands that `value` is at least `limit`.
+    /// Prints `value` and records a violation if it is under `limit`.
     pub fn at_least(&mut self, what: &str, value: f64, limit: f64) {
-        let kept = value >= limit;
-        println!("  {} {what}: {value:.3}, at least {limit}", if kept { "ok " } else { "BAD" });
-        if !kept {
-            self.broken.push(format!("{what}: {value:.3} is under {limit}"));
+        let is_within = value >= limit;
+        println!(
+            "  {} {what}: {value:.3}, at least {limit}",
+            if is_within { "ok " } else { "BAD" }
+        );
+        if !is_within {
+            self.violations.push(format!("{what}: {value:.3} is under {limit}"));
         }
     }
 
-    /// The bench's exit code.
+    /// Prints all violations and returns the exit code of the bench.
     pub fn finish(self) -> ExitCode {
-        if self.broken.is_empty() {
+        if self.violations.is_empty() {
             return ExitCode::SUCCESS;
         }
-        eprintln!("out of bounds:\n  {}", self.broken.join("\n  "));
+        eprintln!("out of bounds:\n  {}", self.violations.join("\n  "));
         ExitCode::FAILURE
     }
 }
--- a/crates/gullspar_bench/src/closed_loop.rs
+++ b/crates/gullspar_bench/src/closed_loop.rs
@@ -1,4 +1,4 @@
-//! Callers that send a statement, wait for the answer, and send the next.
+//! Closed-loop load: each caller sends its next statement after the response to the previous one.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 use crate::Percentiles;
 
-/// How a closed loop goes.
+/// The parameters of a closed-loop load.
 #[derive(Clone, Debug)]
 pub struct ClosedLoop {
     pub addresses: Vec<SocketAddr>,
@@ -17,20 +17,21 @@
     pub service: String,
     pub sql: String,
     pub connections: usize,
-    /// Time before measuring begins.
+    /// Time before the measurement begins.
     pub warm_up: Duration,
     pub measure: Duration,
-    /// Pause after each answer.
+    /// Pause after each response.
     pub pause: Duration,
-    /// Whether to connect without a password, as to a target itself.
-    pub bare: bool,
+    /// Whether to connect without a password, as targets require.
+    pub without_password: bool,
 }
 
-/// What a closed loop saw.
+/// The results of a closed-loop load.
 #[derive(Default)]
 pub struct LoopResult {
+    /// Durations of statements that were done.
     pub done: Percentiles,
-    /// Requests refused as not run.
+    /// Durations of statements that were refused and not run.
     pub refused: Percentiles,
     pub unknown: u64,
     pub failed: u64,
@@ -38,41 +39,41 @@
 }
 
 impl LoopResult {
-    /// Statements done a second.
+    /// Statements done per second.
     pub fn rate(&self) -> f64 {
         self.done.len() as f64 / self.seconds
     }
 }
 
 impl ClosedLoop {
-    /// Runs the loop on a thread of its own and waits for its end.
+    /// Runs the load on its own thread and waits for its end.
     pub fn run(self) -> LoopResult {
         self.start().finish()
     }
 
-    /// Starts the loop on a thread of its own.
+    /// Starts the load on its own thread.
     pub fn start(self) -> RunningLoop {
         let thread = std::thread::spawn(move || {
             let Ok(runtime) = compio::runtime::Runtime::new() else { return LoopResult::default() };
-            runtime.block_on(self.drive())
+            runtime.block_on(self.run_callers())
         });
         RunningLoop { thread }
     }
 
-    async fn drive(self) -> LoopResult {
+    async fn run_callers(self) -> LoopResult {
         let this = Rc::new(self);
         let result = Rc::new(RefCell::new(LoopResult::default()));
-        let phase = Rc::new(Cell::new(Phase::Warm));
+        let phase = Rc::new(Cell::new(Phase::WarmUp));
         let mut tasks = Vec::new();
         for number in 0..this.connections {
-            let caller = this.clone().call(number, Rc::clone(&result), Rc::clone(&phase));
+            let caller = this.clone().run_caller(number, Rc::clone(&result), Rc::clone(&phase));
             tasks.push(compio::runtime::spawn(caller));
         }
         compio::time::sleep(this.warm_up).await;
         phase.set(Phase::Measure);
         let started = Instant::now();
         compio::time::sleep(this.measure).await;
-        phase.set(Phase::Over);
+        phase.set(Phase::Finished);
         let seconds = started.elapsed().as_secs_f64();
         drop(tasks);
         let mut result = result.take();
@@ -80,7 +81,7 @@
         result
     }
 
-    async fn call(
+    async fn run_caller(
         self: Rc<Self>,
         number: usize,
         result: Rc<RefCell<LoopResult>>,
@@ -88,29 +89,29 @@
     ) {
         let address = self.addresses[number % self.addresses.len()];
         loop {
-            let connecting = if self.bare {
+            let connected = if self.without_password {
                 Client::connect_bare(address).await
             } else {
                 Client::connect(address, &self.user, &self.service, None).await
             };
-            let Ok(mut client) = connecting else {
+            let Ok(mut client) = connected else {
                 compio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
             loop {
                 let started = Instant::now();
-                let Ok(answer) = client.query(&self.sql).await else { break };
-                let took = started.elapsed();
+                let Ok(response) = client.query(&self.sql).await else { break };
+                let duration = started.elapsed();
                 if phase.get() == Phase::Measure {
                     let mut result = result.borrow_mut();
-                    match answer.verdict() {
-                        Verdict::Done => result.done.add(took),
-                        Verdict::NotRun => result.refused.add(took),
+                    match response.verdict() {
+                        Verdict::Done => result.done.add(duration),
+                        Verdict::NotRun => result.refused.add(duration),
                         Verdict::Unknown => result.unknown += 1,
                         Verdict::Failed => result.failed += 1,
                     }
                 }
-                if answer.verdict() == Verdict::NotRun {
+                if response.verdict() == Verdict::NotRun {
                     compio::time::sleep(Duration::from_millis(20)).await;
                 }
                 if !self.pause.is_zero() {
@@ -123,18 +124,18 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    Warm,
+    WarmUp,
     Measure,
-    Over,
+    Finished,
 }
 
-/// A loop that is under way.
+/// A running closed-loop load.
 pub struct RunningLoop {
     thread: std::thread::JoinHandle<LoopResult>,
 }
 
 impl RunningLoop {
-    /// Waits for the loop's end.
+    /// Waits for the end of the load and returns its results.
     pub fn finish(self) -> LoopResult {
         self.thread.join().unwrap_or_default()
     }
--- a/crates/gullspar_bench/src/deployment.rs
+++ b/crates/gullspar_bench/src/deployment.rs
@@ -1,10 +1,10 @@
-//! The two deployments of the brief as labs.
+//! The two reference deployments, as labs.
 
 use std::time::{Duration, Instant};
 
 use gullspar_lab::{Lab, LabSettings};
 
-/// A deployment and its lab file.
+/// A deployment with its lab file.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     pub name: &'static str,
@@ -20,27 +20,27 @@
     pub const KAHURANGI: Deployment =
         Deployment { name: "kahurangi", text: include_str!("../../../labs/kahurangi.jsonc") };
 
-    /// The lab's settings, with a ledger for writes beside the deployment's own tables.
+    /// The settings of the lab, with a table `ledger` for writes added to the tables of the deployment.
     ///
     /// # Panics
-    /// Panics when the file is unsound, which a test of the lab checks.
+    /// Panics if the lab file is invalid, which a test of the lab rules out.
     pub fn settings(&self) -> LabSettings {
         #[allow(clippy::expect_used)]
-        let mut settings = LabSettings::parse(self.name, self.text).expect("a sound lab file");
+        let mut settings = LabSettings::parse(self.name, self.text).expect("valid lab file");
         settings.schema.push("CREATE TABLE ledger (id TEXT NOT NULL)".to_owned());
         settings
     }
 
-    /// Starts a lab and waits until every group is led and attached.
+    /// Starts a lab and waits until every group has a primary, and then for another 500 ms.
     ///
     /// # Panics
-    /// Panics when that does not come about in time: there is nothing to measure then.
+    /// Panics if the lab cannot start or a group has no primary after 20 s.
     pub fn start(settings: LabSettings) -> Lab {
         #[allow(clippy::expect_used)]
         let lab = Lab::start(settings).expect("loopback addresses are free");
         let deadline = Instant::now() + Duration::from_secs(20);
         while !lab.is_led() {
-            assert!(Instant::now() < deadline, "no primaries in time");
+            assert!(Instant::now() < deadline, "not every group has a primary after 20 s");
             std::thread::sleep(Duration::from_millis(20));
         }
         std::thread::sleep(Duration::from_millis(500));
--- a/crates/gullspar_bench/src/percentiles.rs
+++ b/crates/gullspar_bench/src/percentiles.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 
-/// Durations in microseconds.
+/// A histogram of durations, in microseconds.
 pub struct Percentiles {
     histogram: Histogram<u64>,
 }
@@ -12,7 +12,7 @@
 impl Default for Percentiles {
     fn default() -> Percentiles {
         #[allow(clippy::expect_used)]
-        let histogram = Histogram::new(3).expect("three digits are within what it takes");
+        let histogram = Histogram::new(3).expect("three significant digits are valid");
         Percentiles { histogram }
     }
 }
@@ -20,27 +20,27 @@
 impl Percentiles {
     /// Adds a duration.
     pub fn add(&mut self, duration: Duration) {
-        // Durations over the histogram's range of centuries don't come about.
+        // Fails only for durations over the range of the histogram, which covers centuries.
         let _ = self.histogram.record(duration.as_micros().max(1) as u64);
     }
 
-    /// Takes another set in.
+    /// Adds all durations of `other`.
     pub fn merge(&mut self, other: &Percentiles) {
-        // Both have the same precision and grow by themselves.
+        // Cannot fail: both have the same precision and resize automatically.
         let _ = self.histogram.add(&other.histogram);
     }
 
-    /// The value that `share` of all durations keep within, in milliseconds.
-    pub fn at(&self, share: f64) -> f64 {
+    /// The quantile `share`, from 0 to 1, in milliseconds.
+    pub fn quantile_ms(&self, share: f64) -> f64 {
         self.histogram.value_at_quantile(share) as f64 / 1000.0
     }
 
-    /// How many durations there are.
+    /// The number of durations.
     pub fn len(&self) -> u64 {
         self.histogram.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no durations.
     pub fn is_empty(&self) -> bool {
         self.histogram.is_empty()
     }
--- a/crates/gullspar_bench/src/process_cost.rs
+++ b/crates/gullspar_bench/src/process_cost.rs
@@ -1,8 +1,8 @@
-//! What this process and its threads have used.
+//! Processor time and memory used by this process.
 
 use std::time::Duration;
 
-/// Processor time of all threads whose name begins with `name`.
+/// Total processor time of the threads of this process whose name starts with `name`, from `/proc`.
 pub fn processor_time(name: &str) -> Duration {
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else { return Duration::ZERO };
     let paths = tasks.flatten().map(|it| it.path());
@@ -15,7 +15,7 @@
     Duration::from_nanos(nanos.sum())
 }
 
-/// Resident memory of the process in bytes.
+/// Resident memory of this process in bytes, from `/proc`.
 pub fn resident_memory() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let resident = status.lines().find(|it| it.starts_with("VmRSS:")).unwrap_or("");
--- a/crates/gullspar_bench/src/relay.rs
+++ b/crates/gullspar_bench/src/relay.rs
@@ -1,4 +1,4 @@
-//! A bare byte relay on the same runtime: the least that a proxy can cost.
+//! A plain byte relay on the same runtime, as the baseline for the cost of a proxy.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -8,13 +8,13 @@
 use gullspar_border::Link;
 use gullspar_net::TcpLink;
 
-/// Relays every connection to one address.
+/// A relay that forwards every connection to one address.
 pub struct Relay {
     pub address: SocketAddr,
 }
 
 impl Relay {
-    /// Starts a relay to `to` on a thread of its own, which ends with the process.
+    /// Starts a relay to `to` on its own thread, which runs until the process ends.
     pub fn start(to: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -25,10 +25,11 @@
                 while let Ok((stream, _)) = listener.accept().await {
                     compio::runtime::spawn(async move {
                         let Ok(other) = TcpStream::connect(to).await else { return };
-                        let forth = copy(TcpLink::new(stream.clone()), TcpLink::new(other.clone()));
-                        let back = copy(TcpLink::new(other), TcpLink::new(stream));
-                        // A connection that ends in one direction is over for a bench.
-                        let _ = futures::join!(forth, back);
+                        let requests =
+                            copy(TcpLink::new(stream.clone()), TcpLink::new(other.clone()));
+                        let responses = copy(TcpLink::new(other), TcpLink::new(stream));
+                        // Errors are ignored, because the bench sees a broken connection itself.
+                        let _ = futures::join!(requests, responses);
                     })
                     .detach();
                 }
--- a/crates/gullspar_bench/src/status.rs
+++ b/crates/gullspar_bench/src/status.rs
@@ -1,10 +1,10 @@
-//! What the instances of a lab report.
+//! Status reports of the instances of a lab.
 
 use gullspar_border::OutcomeCount;
 use gullspar_lab::Lab;
 use gullspar_operator::Status;
 
-/// Asks an instance of the lab for the status of all.
+/// Requests the status of all instances from the first instance of the lab.
 pub fn status(lab: &Lab) -> Option<Status> {
     let address = lab.instances.first()?.addresses.operator;
     let read = async move {
@@ -15,8 +15,8 @@
     compio::runtime::Runtime::new().ok()?.block_on(read)
 }
 
-/// The counts of all instances for one class, added up.
-pub fn counts_of(status: &Status, class: &str) -> OutcomeCount {
+/// The sum of the outcome counts of all instances for `class`.
+pub fn class_counts(status: &Status, class: &str) -> OutcomeCount {
     let reports = status.instances.iter().filter_map(|it| it.report.as_ref());
     let all = reports.flat_map(|it| &it.outcomes).filter(|it| it.class == class);
     all.cloned()
--- a/crates/gullspar_bench/src/trivial_target.rs
+++ b/crates/gullspar_bench/src/trivial_target.rs
@@ -1,4 +1,4 @@
-//! A target that does next to nothing, so that what is measured is the way to it.
+//! A target with negligible cost, so that a bench measures only the path to it.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -9,16 +9,16 @@
 use gullspar_net::TcpLink;
 use gullspar_wire::{Channel, Frame, WireError, caller, command_complete, ready, status, target};
 
-/// How a status call begins; its arguments follow.
+/// The start of a status query. Its arguments follow.
 const STATUS_PREFIX: &str = "SELECT group_status";
 
-/// A target that leads or follows term 1 and answers every statement with the same row.
+/// A primary or replica in term 1 that answers every statement with the same row.
 pub struct TrivialTarget {
     pub address: SocketAddr,
 }
 
 impl TrivialTarget {
-    /// Starts a target on a thread of its own, which ends with the process.
+    /// Starts a target on its own thread, which runs until the process ends.
     pub fn start(primary: bool) -> io::Result<TrivialTarget> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
@@ -28,7 +28,7 @@
                 let Ok(listener) = compio::net::TcpListener::from_std(listener) else { return };
                 while let Ok((stream, _)) = listener.accept().await {
                     compio::runtime::spawn(async move {
-                        // A caller that leaves ends its connection; nothing else is there to do.
+                        // An error means that the caller has disconnected.
                         let _ = serve(stream, primary).await;
                     })
                     .detach();
