--- a/crates/gullspar/src/check.rs
+++ b/crates/gullspar/src/check.rs
@@ -1,11 +1,15 @@
-//! Settings from the command line.
+//! Reads and checks settings files, and prints the reference of all settings.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use gullspar_settings::{DirectSettings, Findings, InstanceSettings, render_reference};
 
-/// Reads a settings file, or tells everything that is wrong with it.
+/// Reads a settings file.
+///
+/// # Errors
+///
+/// Fails with a text that lists all findings, or with the reason why the file can't be read.
 pub(crate) fn read(file: &Path) -> Result<InstanceSettings, String> {
     read_as(file, InstanceSettings::parse)
 }
@@ -24,24 +28,26 @@
     parse(&name, &text).map_err(|findings| findings.to_string())
 }
 
-/// Checks a settings file.
-pub(crate) fn check(file: PathBuf, direct: bool) -> ExitCode {
-    let id = if direct { read_direct(&file).map(|it| it.id) } else { read(&file).map(|it| it.id) };
+/// Checks a settings file and prints the result; `is_direct` is set for an instance that connects to
+/// its targets directly.
+pub(crate) fn check(file: PathBuf, is_direct: bool) -> ExitCode {
+    let id =
+        if is_direct { read_direct(&file).map(|it| it.id) } else { read(&file).map(|it| it.id) };
     match id {
         Ok(id) => {
             println!("{}: settings of instance {id} are sound", file.display());
             ExitCode::SUCCESS
         }
-        Err(text) => {
-            eprintln!("{text}");
+        Err(findings) => {
+            eprintln!("{findings}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Prints the reference of all options.
-pub(crate) fn print_reference(direct: bool) -> ExitCode {
-    let page = if direct {
+/// Prints the reference of all settings.
+pub(crate) fn print_reference(is_direct: bool) -> ExitCode {
+    let page = if is_direct {
         let title = "Settings of an instance that connects directly";
         render_reference(title, &DirectSettings::options())
     } else {
--- a/crates/gullspar/src/command_line.rs
+++ b/crates/gullspar/src/command_line.rs
@@ -4,11 +4,11 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-/// The whole command line.
+/// Defines all subcommands and their arguments.
 pub(crate) fn command() -> Command {
     let file = Arg::new("file")
         .value_name("FILE")
-        .help("Settings of the instance: JSON with comments, see docs/settings.md")
+        .help("Settings file of the instance: JSON with comments, see docs/settings.md")
         .required(true)
         .value_parser(value_parser!(PathBuf));
     let direct = Arg::new("direct")
@@ -27,7 +27,7 @@
         )
         .subcommand(
             Command::new("check")
-                .about("Checks a settings file and reports every finding with its place")
+                .about("Checks a settings file and reports every finding with its location")
                 .arg(file.clone())
                 .arg(direct.clone()),
         )
@@ -41,12 +41,12 @@
         )
 }
 
-/// Whether a subcommand is about instances that connect directly.
-pub(crate) fn direct(args: &ArgMatches) -> bool {
+/// Whether a subcommand was called with `--direct`.
+pub(crate) fn is_direct(args: &ArgMatches) -> bool {
     args.get_flag("direct")
 }
 
-/// The settings file of a subcommand.
-pub(crate) fn file(args: &ArgMatches) -> PathBuf {
+/// The settings file that was passed to a subcommand.
+pub(crate) fn settings_file(args: &ArgMatches) -> PathBuf {
     args.get_one::<PathBuf>("file").cloned().unwrap_or_default()
 }
--- a/crates/gullspar/src/run.rs
+++ b/crates/gullspar/src/run.rs
@@ -1,4 +1,4 @@
-//! Running one instance.
+//! Runs an instance until it is asked to terminate.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,12 +10,12 @@
 
 use crate::check;
 
-/// Runs the instance that `file` describes.
+/// Runs the instance that the settings in `file` describe; returns the exit code of the process.
 pub(crate) fn run(file: PathBuf) -> ExitCode {
     let settings = match check::read(&file) {
         Ok(settings) => settings,
-        Err(text) => {
-            eprintln!("{text}");
+        Err(findings) => {
+            eprintln!("{findings}");
             return ExitCode::FAILURE;
         }
     };
@@ -38,8 +38,9 @@
 async fn serve(settings: InstanceSettings) -> ExitCode {
     let borders = system_borders(&settings);
     let timing = InstanceTiming::from_settings(&settings);
-    let epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    let incarnation = epoch.map_or(1, |it| it.as_millis() as u64);
+    // The start time, so that the incarnation is higher after each restart.
+    let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    let incarnation = since_epoch.map_or(1, |it| it.as_millis() as u64);
     match Instance::start(settings, borders, timing, incarnation).await {
         Ok(instance) => {
             instance.run(gullspar_instance::termination_signal()).await;
--- a/crates/gullspar/src/serve.rs
+++ b/crates/gullspar/src/serve.rs
@@ -1,4 +1,4 @@
-//! Running one instance that connects to its targets directly.
+//! Runs an instance that connects to its targets directly.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,12 +9,12 @@
 
 use crate::check;
 
-/// Runs the instance that `file` describes.
+/// Runs the instance that the settings in `file` describe; returns the exit code of the process.
 pub(crate) fn serve(file: PathBuf) -> ExitCode {
     let settings = match check::read_direct(&file) {
         Ok(settings) => settings,
-        Err(text) => {
-            eprintln!("{text}");
+        Err(findings) => {
+            eprintln!("{findings}");
             return ExitCode::FAILURE;
         }
     };
@@ -28,12 +28,12 @@
             return ExitCode::FAILURE;
         }
     };
-    let served = runtime.block_on(async move {
-        compio::runtime::spawn(reread(file, settings.clone())).detach();
+    let result = runtime.block_on(async move {
+        compio::runtime::spawn(reload_on_hangup(file, settings.clone())).detach();
         gullspar_platform::serve(settings, gullspar_instance::termination_signal()).await
     });
     log::logger().flush();
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("{err}");
@@ -42,23 +42,25 @@
     }
 }
 
-/// Reads the settings anew at each SIGHUP; never ends.
+/// Reads the settings again at each SIGHUP and logs whether they have changed; never returns.
 ///
-/// Addresses and names hold for the life of the process. Told to read what can't be read, it goes on by
-/// what it has.
-async fn reread(file: PathBuf, mut settings: DirectSettings) {
+/// The running instance keeps the settings with which it started, since addresses and names can't
+/// change while it runs.
+async fn reload_on_hangup(file: PathBuf, mut settings: DirectSettings) {
     loop {
         gullspar_instance::hangup_signal().await;
         match check::read_direct(&file) {
-            Ok(fresh) if fresh == settings => {
-                log::info!("G0811 the settings were read anew and are the same");
+            Ok(reloaded) if reloaded == settings => {
+                log::info!("G0811 the settings were reloaded and have not changed");
             }
-            Ok(fresh) => {
-                log::warn!("G0812 the settings have changed; they hold from the next start");
-                settings = fresh;
+            Ok(reloaded) => {
+                log::warn!(
+                    "G0812 the settings have changed; the new ones take effect at the next start"
+                );
+                settings = reloaded;
             }
             Err(findings) => {
-                log::error!(findings = findings.as_str(); "G0813 the settings can't be read; the old ones hold");
+                log::error!(findings = findings.as_str(); "G0813 the settings can't be reloaded; the previous ones stay in force");
             }
         }
     }
--- a/crates/gullspar/tests/documents.rs
+++ b/crates/gullspar/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Pages that must agree with the code.
+//! Compares documentation pages, the deployment template and lab files with the code.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -12,24 +12,24 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn sources(folder: &Path, out: &mut Vec<PathBuf>) {
+fn collect_source_files(folder: &Path, out: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).unwrap().flatten() {
         let path = entry.path();
         if path.is_dir() {
-            sources(&path, out);
+            collect_source_files(&path, out);
         } else if path.extension().is_some_and(|it| it == "rs") {
             out.push(path);
         }
     }
 }
 
-/// Event numbers that begin a log message: a quote, a letter and four digits.
-fn events_in_code() -> BTreeSet<String> {
+/// The event numbers at the start of log messages: a quote, a letter and four digits.
+fn log_events_in_code() -> BTreeSet<String> {
     let mut files = Vec::new();
     for package in std::fs::read_dir(root().join("crates")).unwrap().flatten() {
-        sources(&package.path().join("src"), &mut files);
+        collect_source_files(&package.path().join("src"), &mut files);
     }
-    sources(&root().join("platform/src"), &mut files);
+    collect_source_files(&root().join("platform/src"), &mut files);
     let mut events = BTreeSet::new();
     for file in files {
         let text = std::fs::read_to_string(file).unwrap();
@@ -45,6 +45,7 @@
     events
 }
 
+/// Guards against log events that the catalogue does not list, and listed events that are not in the code.
 #[test]
 fn every_log_event_is_in_the_catalogue_and_no_other() {
     let page = std::fs::read_to_string(root().join("docs/log-events.md")).unwrap();
@@ -55,8 +56,8 @@
         .filter(|it| it.starts_with(['G', 'L']) && it[1..].bytes().all(|it| it.is_ascii_digit()))
         .map(str::to_owned)
         .collect();
-    let used = events_in_code();
-    assert!(used.len() > 20, "the code was searched in vain");
+    let used = log_events_in_code();
+    assert!(used.len() > 20, "too few log events were found in the code");
     assert_eq!(listed, used);
 }
 
@@ -64,9 +65,9 @@
 fn every_log_call_carries_a_number() {
     let mut files = Vec::new();
     for package in std::fs::read_dir(root().join("crates")).unwrap().flatten() {
-        sources(&package.path().join("src"), &mut files);
+        collect_source_files(&package.path().join("src"), &mut files);
     }
-    sources(&root().join("platform/src"), &mut files);
+    collect_source_files(&root().join("platform/src"), &mut files);
     for file in files {
         let text = std::fs::read_to_string(&file).unwrap();
         for (at, _) in text.match_indices("log::") {
@@ -75,7 +76,7 @@
             if !["error", "warn", "info", "debug", "trace"].contains(&level) {
                 continue;
             }
-            // The values that go with a message stand before it and end with a semicolon.
+            // The fields of a log call come before its message and end with a semicolon.
             let values_end = rest.split_once("\");").and_then(|(call, _)| call.rfind("; \""));
             let message = values_end.map_or(rest, |at| &rest[at + 1..]);
             let message = message.trim_start().strip_prefix('"').unwrap_or("");
@@ -102,9 +103,10 @@
     assert_eq!(page, generated, "{hint}");
 }
 
-/// The template that the platform fills in gives settings that are read without a finding.
+/// Guards against a deployment template that does not produce valid settings once the platform has
+/// filled it in.
 #[test]
-fn the_deployed_template_gives_sound_settings() {
+fn the_deployed_template_gives_valid_settings() {
     let mut text = std::fs::read_to_string(root().join("deploy/instance.jsonc")).unwrap();
     let values = [
         ("{{nodeName|json}}", "\"front-1\""),
@@ -135,7 +137,7 @@
 }
 
 #[test]
-fn the_labs_files_are_sound() {
+fn the_lab_files_are_valid() {
     for name in ["midshire", "kahurangi"] {
         let text = std::fs::read_to_string(root().join(format!("labs/{name}.jsonc"))).unwrap();
         let settings = LabSettings::parse(name, &text).unwrap();
@@ -143,8 +145,9 @@
     }
 }
 
+/// Guards against links in the documentation whose file does not exist.
 #[test]
-fn pages_link_to_what_is_there() {
+fn links_in_pages_lead_to_existing_files() {
     let mut pages = vec![root().join("README.md"), root().join("CONTRIBUTING.md")];
     for folder in ["docs", "docs/design", "docs/incidents"] {
         let entries = std::fs::read_dir(root().join(folder)).unwrap().flatten();
@@ -154,8 +157,8 @@
         let text = std::fs::read_to_string(&page).unwrap();
         for link in text.split("](").skip(1).filter_map(|it| it.split_once(')')) {
             let target = link.0.split('#').next().unwrap();
-            let there = page.parent().unwrap().join(target).exists();
-            assert!(there, "{}: {target} is not there", page.display());
+            let exists = page.parent().unwrap().join(target).exists();
+            assert!(exists, "{}: the link to {target} is broken", page.display());
         }
     }
 }
--- a/crates/gullspar/tests/soak.rs
+++ b/crates/gullspar/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Short seeded runs of the fault soak with the real program.
+//! Short runs of the fault soak with fixed seeds and the real program.
 
 #![allow(clippy::unwrap_used, reason = "a test that can't go on must fail")]
 
@@ -14,39 +14,37 @@
     SoakPlan { program, folder, seed, instances: 3, faults_for, customers: false }
 }
 
-/// Processes whose command line names a file in `folder`.
-fn processes_of(folder: &Path) -> usize {
+/// Number of processes whose command line contains a path in `folder`.
+fn count_processes(folder: &Path) -> usize {
     let folder = format!("{}/", folder.display());
     let processes = std::fs::read_dir("/proc").unwrap().flatten();
     let lines = processes.flat_map(|it| std::fs::read(it.path().join("cmdline")));
     lines.filter(|it| String::from_utf8_lossy(it).contains(&folder)).count()
 }
 
-/// Symptom: instances of a run that failed still run an hour later, beside whatever is measured then.
-/// Events: a test fails after its run; tasks of the run live on with the list of its instances.
-/// Cause: instances ended only with the last holder of that list.
+/// Guards against instances that keep running after a failed run, because a task of the run still
+/// holds the list of instances.
 #[test]
-fn no_instance_outlives_its_run() {
+fn all_instances_end_with_their_run() {
     let plan = plan(2, Duration::from_millis(300));
     let runtime = compio::runtime::Runtime::new().unwrap();
     runtime.block_on(soak(&plan)).unwrap();
-    // The runtime and its tasks are still there.
-    assert_eq!(processes_of(&plan.folder), 0);
+    // The runtime has not been dropped, so tasks of the run may still exist.
+    assert_eq!(count_processes(&plan.folder), 0);
 }
 
-/// Runs one seed and fails on any broken promise, or if nothing is served afterwards.
+/// Runs one seed; fails on a broken promise, or if nothing is served after the faults.
 ///
-/// Seed 101 failed once: a caller of the soak went on after a refused BEGIN, so that its writes ran alone
-/// and were counted as a transaction that is not kept.
+/// Seed 101: a caller of the soak continued after a refused BEGIN, and its separate writes were checked
+/// as one transaction.
 #[test_case(1; "a seed without a finding")]
 ///
-/// Seed 138 failed once: a write was acknowledged by its leader alone 80 ms after another member had been
-/// promoted without it; the leader is asked now whether it still leads. It failed again when a leader that
-/// led acknowledged alone just before the promotion, which docs/promises.md allows and the soak now counts.
+/// Seed 138: a leader acknowledged a write alone after another member had been promoted. The check also
+/// failed on a write acknowledged alone just before a promotion, which docs/promises.md allows.
 #[test_case(138; "a leader superseded while replicas can't be asked")]
 ///
-/// Seed 25567 failed once: a write that was not answered in time reached its leader when that was back, after its
-/// caller had written again; the check took the lower value for the older one. It goes by the log's order now.
+/// Seed 25567: a write without an answer took effect after a later write of its caller, and the check
+/// ordered the writes by their values instead of by the log.
 #[test_case(25567; "a write whose outcome is unknown takes effect late")]
 #[test_case(101; "a BEGIN that is refused while the instances start")]
 fn seeds_break_no_promise(seed: u64) {
@@ -57,8 +55,8 @@
     assert!(report.done_after > 0, "nothing is served after the faults: {report:#?}");
 }
 
-/// Guards against keys that are served under another customer's name, and against what a store that comes back from an
-/// older copy undoes.
+/// Guards against requests that are served for the wrong customer, and against a store that is
+/// restored from an older copy and so loses recent changes.
 #[test]
 fn customers_and_restored_stores_break_no_promise() {
     let plan = SoakPlan { customers: true, ..plan(41, Duration::from_secs(6)) };
