--- a/crates/gullsparctl/src/client.rs
+++ b/crates/gullsparctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to an instance's operator API.
+//! Calls to the operator API of an instance and to a lab's control address.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -15,22 +15,22 @@
             source(err)
             display("{file}: {err}")
         }
-        /// A file holds something else than what is wanted.
+        /// Any other failure, described by `text`.
         Text(text: String) {
             display("{text}")
         }
-        /// The instance could not be asked.
+        /// The HTTP call failed.
         Call(err: cyper::Error) {
             from()
             source(err)
             display("{err}")
         }
-        /// The runtime could not start.
+        /// The asynchronous runtime or a listener could not start.
         Runtime(err: std::io::Error) {
             source(err)
             display("the runtime could not start: {err}")
         }
-        /// The instance refused.
+        /// The server answered with an error status.
         Refused(status: u16, text: String) {
             display("{status}: {text}")
         }
@@ -48,23 +48,23 @@
     std::fs::read_to_string(file).map_err(failed)
 }
 
-/// Gets `path` of the instance at `address`.
+/// Sends a GET request for `path` to `address`; returns the body of the answer.
 pub(crate) fn get(address: SocketAddr, path: &str) -> Result<String, CommandError> {
     call(async move {
         let client = cyper::Client::new()?;
         let response = client.get(format!("http://{address}{path}"))?.send().await?;
-        answer(response).await
+        read_answer(response).await
     })
 }
 
-/// Posts JSON to `path` of the instance at `address`.
+/// Posts the JSON text `body` to `path` at `address`; returns the body of the answer.
 pub(crate) fn post(address: SocketAddr, path: &str, body: &str) -> Result<String, CommandError> {
-    let body: serde_json::Value =
-        serde_json::from_str(body).map_err(|err| CommandError::Text(format!("no JSON: {err}")))?;
+    let body: serde_json::Value = serde_json::from_str(body)
+        .map_err(|err| CommandError::Text(format!("the input is not valid JSON: {err}")))?;
     call(async move {
         let client = cyper::Client::new()?;
         let request = client.post(format!("http://{address}{path}"))?.json(&body)?;
-        answer(request.send().await?).await
+        read_answer(request.send().await?).await
     })
 }
 
@@ -72,7 +72,7 @@
     compio::runtime::Runtime::new().map_err(CommandError::Runtime)?.block_on(fut)
 }
 
-async fn answer(response: cyper::Response) -> Result<String, CommandError> {
+async fn read_answer(response: cyper::Response) -> Result<String, CommandError> {
     let status = response.status();
     let text = response.text().await?;
     if status.is_success() { Ok(text) } else { Err(CommandError::Refused(status.as_u16(), text)) }
--- a/crates/gullsparctl/src/command_line.rs
+++ b/crates/gullsparctl/src/command_line.rs
@@ -5,26 +5,26 @@
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
-/// The whole command line.
+/// Defines all subcommands and their arguments.
 pub(crate) fn command() -> Command {
     let address = Arg::new("at")
         .long("at")
         .value_name("ADDRESS")
-        .help("Operator address of any instance, as 127.0.0.1:7001")
+        .help("Operator address of any instance, such as 127.0.0.1:7001")
         .required(true)
         .value_parser(value_parser!(SocketAddr));
     let json =
         Arg::new("json").long("json").help("Print the answer as JSON").action(ArgAction::SetTrue);
     Command::new("gullsparctl")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Drives gullspar: say what you want, look at the plan, confirm it")
+        .about("Operates gullspar: plan a change, review the plan, confirm it")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("plan")
-                .about("Plans what an intent would change; nothing happens by it")
+                .about("Prints the plan for an intent without changing anything")
                 .long_about(
-                    "Plans what an intent would change and prints the plan. Nothing happens until \
+                    "Prints the changes that an intent would make, as a plan. Nothing changes until \
                      the plan is confirmed. An intent is JSON, for example\n  \
                      {\"intent\": \"set_leaving\", \"service\": \"listings\", \"member\": \"m2\", \
                      \"leaving\": true}",
@@ -34,13 +34,13 @@
         )
         .subcommand(
             Command::new("confirm")
-                .about("Carries out a plan exactly as it was shown")
+                .about("Carries out a plan exactly as it was printed")
                 .arg(address.clone())
                 .arg(path("PLAN", "File with the plan; - for standard input")),
         )
         .subcommand(
             Command::new("status")
-                .about("Tells what is in force where, and what each instance sees")
+                .about("Shows which versions are in force on which instances, and what each instance sees")
                 .arg(address.clone())
                 .arg(json.clone()),
         )
@@ -56,12 +56,12 @@
         .help("Write the report as one self-contained page with plots")
         .value_parser(value_parser!(PathBuf));
     Command::new("report")
-        .about("Reports")
+        .about("Prints reports")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("burn")
-                .about("How fast each service and class uses up what its objective allows to fail, and why")
+                .about("How fast each service and class uses up its error budget, and which targets failed")
                 .arg(address)
                 .arg(json)
                 .arg(html),
@@ -80,15 +80,16 @@
         .required(true)
         .value_parser(value_parser!(SocketAddr));
     Command::new("lab")
-        .about("Runs stand-ins and instances in one process, for trying out")
+        .about("Runs instances with simulated targets in one process, for experiments")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("up")
-                .about(
-                    "Starts a lab and prints one line of JSON with all addresses when it listens",
-                )
-                .arg(path("FILE", "The lab: JSON with comments, as labs/midshire.jsonc")),
+                .about("Starts a lab, then prints its addresses as one line of JSON")
+                .arg(path(
+                    "FILE",
+                    "Settings of the lab: JSON with comments, such as labs/midshire.jsonc",
+                )),
         )
         .subcommand(
             Command::new("fault")
@@ -115,18 +116,18 @@
     };
     Command::new("soak")
         .about(
-            "Runs real instances under faults drawn from a seed, and checks what callers are told",
+            "Runs real instances with random faults from a seed, and checks the answers to callers",
         )
-        .arg(path("program", "The program `gullspar`"))
-        .arg(path("folder", "Where settings and logs of each seed are written"))
+        .arg(path("program", "Path of the program `gullspar`"))
+        .arg(path("folder", "Folder for the settings and logs of each seed"))
         .arg(number("seed", "1", "The first seed"))
-        .arg(number("count", "1", "How many seeds"))
-        .arg(number("instances", "3", "Instances in each run"))
-        .arg(number("seconds", "10", "Seconds in which faults come"))
+        .arg(number("count", "1", "Number of seeds to run"))
+        .arg(number("instances", "3", "Number of instances in each run"))
+        .arg(number("seconds", "10", "How long faults are injected, in seconds"))
         .arg(
             Arg::new("customers")
                 .long("customers")
-                .help("Give callers keys, take some away, and restore the store from older copies")
+                .help("Give callers keys, revoke some of them, and restore the store from older copies")
                 .action(ArgAction::SetTrue),
         )
 }
--- a/crates/gullsparctl/src/lab_command.rs
+++ b/crates/gullsparctl/src/lab_command.rs
@@ -1,4 +1,4 @@
-//! Running a lab and setting its faults.
+//! Commands that run a lab and set its faults.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -18,7 +18,7 @@
     match args.subcommand() {
         Some(("up", args)) => up(args),
         Some(("fault", args)) => fault(args),
-        // The command line accepts nothing else.
+        // The command line accepts no other subcommand.
         _ => Ok(()),
     }
 }
@@ -52,58 +52,59 @@
             compio::net::TcpListener::from_std(listener).map_err(CommandError::Runtime)?;
         compio::runtime::spawn(async move {
             if let Err(err) = run_control(listener, tx).await {
-                log::error!("L0104 the lab takes no more commands: {err}");
+                log::error!("L0104 the control address of the lab is no longer served: {err}");
             }
         })
         .detach();
-        wait_until_led(&lab).await;
+        wait_for_primaries(&lab).await;
         println!("{addresses}");
-        let ended = gullspar_lab::termination_signal();
-        futures::pin_mut!(ended);
+        let terminated = gullspar_lab::termination_signal();
+        futures::pin_mut!(terminated);
         loop {
-            match future::select(ended, rx.next()).await {
+            match future::select(terminated, rx.next()).await {
                 Either::Left(_) | Either::Right((None, _)) => return Ok(()),
                 Either::Right((Some(command), pending)) => {
-                    ended = pending;
-                    carry_out(&mut lab, command);
+                    terminated = pending;
+                    run_command(&mut lab, command);
                 }
             }
         }
     })
 }
 
-/// Waits until every group has a primary, but not for ever: a lab may be set up so that none can be.
-async fn wait_until_led(lab: &Lab) {
-    const LOOKS: u32 = 200;
-    for _ in 0..LOOKS {
+/// Waits until every group has a primary, for a limited time, since the settings of a lab may not
+/// allow one.
+async fn wait_for_primaries(lab: &Lab) {
+    const MAX_CHECKS: u32 = 200;
+    for _ in 0..MAX_CHECKS {
         if lab.is_led() {
             return;
         }
         compio::time::sleep(Duration::from_millis(50)).await;
     }
-    log::warn!("L0105 not every group has a primary yet");
+    log::warn!("L0105 some groups still have no primary");
 }
 
-fn carry_out(lab: &mut Lab, command: LabCommand) {
+fn run_command(lab: &mut Lab, command: LabCommand) {
     match command {
         LabCommand::Fault(change) => lab.faults.apply(change),
-        LabCommand::Kill(id) => with(lab, &id, gullspar_lab::LabInstance::kill),
-        LabCommand::ShutDown(id) => with(lab, &id, |it| it.ask_shut_down()),
-        LabCommand::Restart(id) => with(lab, &id, gullspar_lab::LabInstance::restart),
+        LabCommand::Kill(id) => with_instance(lab, &id, gullspar_lab::LabInstance::kill),
+        LabCommand::ShutDown(id) => with_instance(lab, &id, |it| it.ask_shut_down()),
+        LabCommand::Restart(id) => with_instance(lab, &id, gullspar_lab::LabInstance::restart),
         LabCommand::Pause { instance, ms } => {
-            with(lab, &instance, |it| it.pause(Duration::from_millis(ms)));
+            with_instance(lab, &instance, |it| it.pause(Duration::from_millis(ms)));
         }
     }
     lab.list_instances();
 }
 
-fn with(
+fn with_instance(
     lab: &mut Lab,
     id: &gullspar_model::InstanceId,
-    act: impl FnOnce(&mut gullspar_lab::LabInstance),
+    action: impl FnOnce(&mut gullspar_lab::LabInstance),
 ) {
     match lab.instances.iter_mut().find(|it| it.addresses.id == *id) {
-        Some(instance) => act(instance),
-        None => log::warn!("L0106 there is no instance {id} in the lab"),
+        Some(instance) => action(instance),
+        None => log::warn!("L0106 instance {id} does not exist in the lab"),
     }
 }
--- a/crates/gullsparctl/src/main.rs
+++ b/crates/gullsparctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, and the lab.
+//! The command-line tool for operators, which also runs labs and the fault soak.
 
 mod client;
 mod command_line;
@@ -16,7 +16,7 @@
         Some(("soak", args)) => soak_command::run(args),
         Some(("report", args)) => report_command::run(args),
         Some((name, args)) => operator_command::run(name, args),
-        // The command line accepts nothing else.
+        // The command line requires a subcommand.
         None => Ok(()),
     };
     match result {
--- a/crates/gullsparctl/src/operator_command.rs
+++ b/crates/gullsparctl/src/operator_command.rs
@@ -1,4 +1,4 @@
-//! Commands to operators' API.
+//! Commands that call the operator API of an instance.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
 
 use crate::client::{self, CommandError};
 
-/// Runs the command called `name`.
+/// Runs the command `name` and prints its result.
 pub(crate) fn run(name: &str, args: &ArgMatches) -> Result<(), CommandError> {
     let address = address(args)?;
     let text = match name {
@@ -16,13 +16,14 @@
         "confirm" => client::post(address, "/v1/confirm", &client::read(&file(args))?)?,
         _ => {
             let text = client::get(address, "/v1/status")?;
-            if args.get_flag("json") { text } else { describe(&text)? }
+            if args.get_flag("json") { text } else { format_status(&text)? }
         }
     };
     println!("{}", text.trim_end());
     Ok(())
 }
 
+/// The operator address that was passed with `--at`.
 pub(crate) fn address(args: &ArgMatches) -> Result<SocketAddr, CommandError> {
     let missing = || CommandError::Text("--at is missing".to_owned());
     args.get_one::<SocketAddr>("at").copied().ok_or_else(missing)
@@ -32,10 +33,10 @@
     args.get_one::<PathBuf>("file").cloned().unwrap_or_default()
 }
 
-/// A status as text.
-fn describe(text: &str) -> Result<String, CommandError> {
+/// Formats a status, given as JSON, for a terminal.
+fn format_status(json: &str) -> Result<String, CommandError> {
     let status: Status =
-        serde_json::from_str(text).map_err(|err| CommandError::Text(err.to_string()))?;
+        serde_json::from_str(json).map_err(|err| CommandError::Text(err.to_string()))?;
     let mut lines = Vec::new();
     for it in &status.services {
         lines.push(format!(
--- a/crates/gullsparctl/src/report_command.rs
+++ b/crates/gullsparctl/src/report_command.rs
@@ -1,4 +1,4 @@
-//! Reports.
+//! Commands that print reports.
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 pub(crate) fn run(args: &ArgMatches) -> Result<(), CommandError> {
     match args.subcommand() {
         Some(("burn", args)) => burn(args),
-        // The command line accepts nothing else.
+        // The command line accepts no other subcommand.
         _ => Ok(()),
     }
 }
--- a/crates/gullsparctl/src/soak_command.rs
+++ b/crates/gullsparctl/src/soak_command.rs
@@ -1,4 +1,4 @@
-//! The fault soak from the command line.
+//! The command that runs the fault soak.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,7 +8,11 @@
 
 use crate::client::CommandError;
 
-/// Runs seeds one after the other; fails if any breaks a promise or does not recover.
+/// Runs the seeds one after the other.
+///
+/// # Errors
+///
+/// Fails if a seed breaks a promise or serves nothing after its faults.
 pub(crate) fn run(args: &ArgMatches) -> Result<(), CommandError> {
     let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or_default();
     let path = |name: &str| args.get_one::<PathBuf>(name).cloned().unwrap_or_default();
@@ -26,7 +30,7 @@
             compio::runtime::Runtime::new().map_err(|err| CommandError::Text(err.to_string()))?;
         let report =
             runtime.block_on(soak(&plan)).map_err(|err| CommandError::Text(err.to_string()))?;
-        if !tell(&report) {
+        if !print_report(&report) {
             failed.push(seed.to_string());
         }
     }
@@ -36,8 +40,8 @@
     Err(CommandError::Text(format!("seeds that failed: {}", failed.join(", "))))
 }
 
-/// Prints one line, and the faults and breaches of a seed that failed; `true` if it passed.
-fn tell(report: &Report) -> bool {
+/// Prints a summary of one seed, and its faults and breaches if it failed; returns whether it passed.
+fn print_report(report: &Report) -> bool {
     let passed = report.breaches.is_empty() && report.done_after > 0;
     println!(
         "seed {}: {}; {} faults, {} written, {} not kept, {} unknown, {} lost as allowed, {} reads, \
