--- a/crates/gullspar_report/src/burn_report.rs
+++ b/crates/gullspar_report/src/burn_report.rs
@@ -1,43 +1,44 @@
-//! Burn rates over several windows.
+//! Computes burn rates over several windows of time.
 
 use gullspar_border::{BurnSeries, MinuteCount, TargetFailureCount};
 use gullspar_model::record;
 
 record! {
-    /// A window of minutes, the present one included.
+    /// The requests of the last minutes, including the current one.
     #[derive(Copy)]
     pub struct BurnWindow {
         pub minutes: u32,
         pub requests: u64,
         pub bad: u64,
-        /// Hundredths of the burn rate: at 100 the budget lasts exactly its period.
+        /// The burn rate in hundredths. At 100, the error budget lasts exactly for its period.
         pub burn_hundredths: u64,
     }
 }
 
 record! {
-    /// How soon somebody must look.
+    /// How soon an operator must respond.
     #[derive(Copy, PartialOrd, Ord)]
     #[serde(rename_all = "snake_case")]
     pub enum Urgency {
-        /// Now: a month's budget would be gone in about two days.
+        /// At once: the error budget of a month would be used up in about two days.
         Page,
-        /// This day: it would be gone in about five days.
+        /// Within a day: it would be used up in about five days.
         Ticket,
         None,
     }
 }
 
 record! {
-    /// One service and class.
+    /// The burn rates of one service and class.
     pub struct BurnRow {
         pub service: String,
         pub class: String,
         pub objective_ppm: u64,
         pub urgency: Urgency,
         pub windows: Vec<BurnWindow>,
-        /// What failed requests were last tried at, the most frequent first.
+        /// The targets that failed requests were last sent to, with the reason; the most frequent first.
         pub blames: Vec<TargetFailureCount>,
+        /// The current minute first, then the preceding ones.
         pub minutes: Vec<MinuteCount>,
     }
 }
@@ -49,21 +50,23 @@
     }
 }
 
-/// Windows of the report, in minutes. A rate must be exceeded over a short and a long window at once: the
-/// long one keeps a moment's trouble from waking anybody, the short one ends the alarm soon after.
-const WINDOWS: [u32; 4] = [5, 30, 60, 360];
+/// Windows of the report, in minutes.
+///
+/// A threshold must be exceeded in a short and in a long window at once: the long window prevents an
+/// alarm on a brief failure, and the short one ends the alarm soon after a recovery.
+const WINDOW_MINUTES: [u32; 4] = [5, 30, 60, 360];
 
-/// Rate over 5 minutes and an hour at which somebody is called.
-const PAGE_HUNDREDTHS: u64 = 1440;
+/// Burn rate over 5 minutes and over an hour from which an operator is paged, in hundredths.
+const PAGE_THRESHOLD_HUNDREDTHS: u64 = 1440;
 
-/// Rate over 30 minutes and six hours at which somebody must look.
-const TICKET_HUNDREDTHS: u64 = 600;
+/// Burn rate over 30 minutes and over six hours from which a ticket is opened, in hundredths.
+const TICKET_THRESHOLD_HUNDREDTHS: u64 = 600;
 
-/// Blames that are shown.
-const BLAMES: usize = 5;
+/// Maximum number of failing targets that are listed for each service and class.
+const MAX_BLAMES: usize = 5;
 
 impl BurnReport {
-    /// Makes the report of all series.
+    /// Creates the report from the series of all services and classes.
     pub fn new(series: &[BurnSeries]) -> BurnReport {
         let mut rows: Vec<BurnRow> = series.iter().map(row).collect();
         rows.sort_by_key(|it| {
@@ -75,13 +78,13 @@
 }
 
 fn row(series: &BurnSeries) -> BurnRow {
-    let windows: Vec<BurnWindow> = WINDOWS.iter().map(|it| window(series, *it)).collect();
+    let windows: Vec<BurnWindow> = WINDOW_MINUTES.iter().map(|it| window(series, *it)).collect();
     let rate = |minutes: u32| {
         windows.iter().find(|it| it.minutes == minutes).map_or(0, |it| it.burn_hundredths)
     };
-    let urgency = if rate(5).min(rate(60)) >= PAGE_HUNDREDTHS {
+    let urgency = if rate(5).min(rate(60)) >= PAGE_THRESHOLD_HUNDREDTHS {
         Urgency::Page
-    } else if rate(30).min(rate(360)) >= TICKET_HUNDREDTHS {
+    } else if rate(30).min(rate(360)) >= TICKET_THRESHOLD_HUNDREDTHS {
         Urgency::Ticket
     } else {
         Urgency::None
@@ -92,7 +95,7 @@
         objective_ppm: series.objective_ppm,
         urgency,
         windows,
-        blames: series.blames.iter().take(BLAMES).cloned().collect(),
+        blames: series.blames.iter().take(MAX_BLAMES).cloned().collect(),
         minutes: series.minutes.clone(),
     }
 }
--- a/crates/gullspar_report/src/html.rs
+++ b/crates/gullspar_report/src/html.rs
@@ -1,4 +1,4 @@
-//! The report as one page that needs nothing else.
+//! Renders the report as one self-contained HTML page.
 
 use plotters::prelude::*;
 use quick_error::quick_error;
@@ -6,7 +6,7 @@
 use crate::{BurnReport, BurnRow, text};
 
 quick_error! {
-    /// Why a page could not be written.
+    /// Why a page could not be rendered.
     #[derive(Debug)]
     pub enum HtmlError {
         /// The plotting library failed.
@@ -17,9 +17,13 @@
 }
 
 /// Size of a plot in pixels.
-const PLOT: (u32, u32) = (640, 180);
+const PLOT_SIZE: (u32, u32) = (640, 180);
 
-/// Writes the report with a plot for each service and class.
+/// Renders the report with a plot for each service and class.
+///
+/// # Errors
+///
+/// Fails if a plot can't be drawn.
 pub fn html(report: &BurnReport) -> Result<String, HtmlError> {
     let mut page = String::from(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Service-level burn</title>\
@@ -29,13 +33,13 @@
          <h1>Service-level burn</h1>",
     );
     for row in &report.rows {
-        section(row, &mut page)?;
+        write_section(row, &mut page)?;
     }
     page.push_str("</html>\n");
     Ok(page)
 }
 
-fn section(row: &BurnRow, page: &mut String) -> Result<(), HtmlError> {
+fn write_section(row: &BurnRow, page: &mut String) -> Result<(), HtmlError> {
     let urgency = text::urgency(row.urgency);
     page.push_str(&format!(
         "<h2 class=\"{urgency}\">{} / {}: {urgency}</h2><table><tr><th>window<th>requests<th>failed\
@@ -63,32 +67,38 @@
         ));
     }
     page.push_str("</ul>");
-    page.push_str(&plot(row).map_err(|err| HtmlError::Plot(err.to_string()))?);
+    page.push_str(&draw_plot(row).map_err(|err| HtmlError::Plot(err.to_string()))?);
     Ok(())
 }
 
-/// Failed requests of each minute, in percent, with the objective as a line.
-fn plot(row: &BurnRow) -> Result<String, Box<dyn std::error::Error>> {
+/// Draws the percentage of failed requests in each minute, and the allowed percentage as a line.
+fn draw_plot(row: &BurnRow) -> Result<String, Box<dyn std::error::Error>> {
     let mut svg = String::new();
     {
-        let allowed = (1_000_000 - row.objective_ppm) as f64 / 10_000.0;
-        let shares: Vec<f64> = row
+        let allowed_percentage = (1_000_000 - row.objective_ppm) as f64 / 10_000.0;
+        let failed_percentages: Vec<f64> = row
             .minutes
             .iter()
             .map(|it| 100.0 * it.bad() as f64 / it.total().max(1) as f64)
             .collect();
-        let top = shares.iter().copied().fold(allowed * 2.0, f64::max);
-        let span = shares.len().max(2) as f64;
-        let area = SVGBackend::with_string(&mut svg, PLOT).into_drawing_area();
+        let y_max = failed_percentages.iter().copied().fold(allowed_percentage * 2.0, f64::max);
+        let span = failed_percentages.len().max(2) as f64;
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         let mut chart = ChartBuilder::on(&area)
             .margin(6)
             .x_label_area_size(24)
             .y_label_area_size(44)
-            .build_cartesian_2d(-span..0.0, 0.0..top)?;
+            .build_cartesian_2d(-span..0.0, 0.0..y_max)?;
         chart.configure_mesh().x_desc("minutes ago").y_desc("failed, %").draw()?;
-        let points = shares.iter().enumerate().map(|(ago, share)| (-(ago as f64), *share));
+        let points = failed_percentages
+            .iter()
+            .enumerate()
+            .map(|(minutes_ago, percentage)| (-(minutes_ago as f64), *percentage));
         chart.draw_series(LineSeries::new(points, &RED))?;
-        chart.draw_series(LineSeries::new([(-span, allowed), (0.0, allowed)], &BLUE))?;
+        chart.draw_series(LineSeries::new(
+            [(-span, allowed_percentage), (0.0, allowed_percentage)],
+            &BLUE,
+        ))?;
         area.present()?;
     }
     Ok(svg)
--- a/crates/gullspar_report/src/lib.rs
+++ b/crates/gullspar_report/src/lib.rs
@@ -1,5 +1,5 @@
-//! The report on service-level burn: how fast each service and class uses up what its objective allows
-//! to fail, and what is to blame.
+//! The report on burn rates: how fast each service and class uses up its error budget, and which
+//! targets the failed requests were sent to.
 
 mod burn_report;
 mod html;
--- a/crates/gullspar_report/src/text.rs
+++ b/crates/gullspar_report/src/text.rs
@@ -1,8 +1,8 @@
-//! The report as text.
+//! Renders the report as text.
 
 use crate::{BurnReport, BurnRow, Urgency};
 
-/// Writes the report for a terminal.
+/// Renders the report for a terminal.
 pub fn text(report: &BurnReport) -> String {
     if report.rows.is_empty() {
         return "no requests so far\n".to_owned();
@@ -12,7 +12,7 @@
         "service", "class", "objective", "5 min", "30 min", "1 h", "6 h", "urgency"
     );
     for row in &report.rows {
-        page.push_str(&line(row));
+        page.push_str(&format_row(row));
         for blame in &row.blames {
             let target = if blame.target.is_empty() { "no target" } else { blame.target.as_str() };
             page.push_str(&format!("    {:>7} at {target}: {}\n", blame.count, blame.reason));
@@ -21,7 +21,7 @@
     page
 }
 
-fn line(row: &BurnRow) -> String {
+fn format_row(row: &BurnRow) -> String {
     let mut line = format!(
         "{:<12} {:<12} {:>8.2}%",
         row.service,
@@ -35,7 +35,7 @@
     line
 }
 
-/// An urgency in a word.
+/// The name of an urgency; `-` if there is none.
 pub(crate) fn urgency(urgency: Urgency) -> &'static str {
     match urgency {
         Urgency::Page => "page",
