--- a/crates/gullspar_customer/src/leased_tokens.rs
+++ b/crates/gullspar_customer/src/leased_tokens.rs
@@ -22,10 +22,10 @@
 /// How long a customer counts as at its limit after a request for tokens got none.
 const AT_LIMIT_PERIOD: Duration = Duration::from_secs(5);
 
-/// Time in which a used-up grace period is fully available again.
+/// Time after which an exhausted grace period is fully available again.
 const GRACE_RECOVERY_PERIOD: Duration = Duration::from_secs(10);
 
-/// Maximum time before an exhausted quota is asked for tokens again.
+/// Maximum delay before tokens are requested again after the quota was exhausted.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Whether an operation may run.
@@ -35,7 +35,7 @@
     Granted,
     /// The customer is at its limit; the operation may be retried after `retry_after`.
     Exhausted { retry_after: Duration },
-    /// There are no tokens; the owner has to be asked.
+    /// There are no tokens; they have to be requested from the owner.
     NeedsGrant,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl LeasedTokens {
-    /// An account without tokens.
+    /// Creates an account without tokens.
     pub fn new(now: BootInstant) -> LeasedTokens {
         LeasedTokens {
             tokens: 0,
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Consumes a token, if there is one, for an operation that runs in any case, such as the second attempt of a read.
+    /// Consumes a token if one is available. Used for operations that run in any case, such as the second attempt of a
+    /// read.
     pub fn consume_if_available(&mut self) {
         self.tokens = self.tokens.saturating_sub(1);
     }
@@ -132,7 +133,8 @@
         true
     }
 
-    /// The number of tokens to request: for `waiting` operations, and for those expected until tokens expire.
+    /// The number of tokens to request: enough for the `waiting` operations and for those that are expected before the
+    /// tokens expire.
     pub fn tokens_to_request(&self, waiting: u32, now: BootInstant) -> u32 {
         let expected = self.rate_at(now) * TOKEN_TTL.as_secs_f64();
         waiting + expected as u32
@@ -154,7 +156,7 @@
         self.rated_at = now;
     }
 
-    /// Whether nothing was consumed for so long that this account can be dropped without effect.
+    /// Whether this account has been unused for so long that it can be dropped without effect.
     pub fn is_idle(&self, now: BootInstant) -> bool {
         now.since(self.rated_at) > GRACE_RECOVERY_PERIOD
             && now.since(self.grace_updated_at) > GRACE_RECOVERY_PERIOD
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -16,7 +16,7 @@
 /// How long fetching a snapshot from another instance may take.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// State as of the last heartbeats.
+/// What the last heartbeats contained, and when the next ones are due.
 #[derive(Default)]
 struct LastSent {
     /// When the next full round is due.
@@ -26,6 +26,7 @@
 }
 
 impl Proxy {
+    /// Sends heartbeats, in full rounds at a fixed interval and early after updates; never returns.
     pub(crate) async fn send_heartbeats(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut last_sent = LastSent::default();
@@ -39,14 +40,15 @@
                 last_sent.next_round = Some(sent_at + HEARTBEAT_INTERVAL);
             }
             let next_round = last_sent.next_round.unwrap_or(sent_at);
-            // Each update is sent in two rounds, so that a single lost datagram does no harm.
+            // While updates are pending, the next round starts early. Each update is sent in two
+            // rounds, so that a single lost datagram does no harm.
             if !self.peers.has_updates() {
                 let groups = self.groups();
                 let changed = futures::future::select_all(
                     groups.iter().map(|it| it.listen()).chain([directory_changed, updates]),
                 );
-                // A leader that falls silent ends the wait: a promotion needs the views of most
-                // instances.
+                // A change of a group, such as a silent leader, ends the wait, because a promotion needs
+                // the current views of most instances.
                 let _ = within(&*clock, next_round, changed).await;
             }
             if self.directory.version() != last_sent.catalogue_version {
@@ -88,8 +90,8 @@
         last_sent.views = views.into_iter().map(|it| (it.group.clone(), it)).collect();
     }
 
-    /// Instances that monitor the same groups, with the shared groups: the groups' homes and the
-    /// instances that sent views of them.
+    /// Addresses of the instances that monitor the same groups as this one, each with the shared
+    /// groups. They are the groups' homes and the instances that sent views of the groups.
     ///
     /// They decide on promotions together and need each other's views without delay.
     fn find_group_peers(&self) -> BTreeMap<SocketAddr, BTreeSet<GroupName>> {
@@ -160,7 +162,8 @@
         }
     }
 
-    /// Records which contacts this instance itself has and checks the other instances for silence.
+    /// Records whether this instance can reach the store and most leaders, and checks the other
+    /// instances for silence.
     pub(crate) fn check_peers(&self) {
         let now = self.borders.clock.boot_now();
         if self.can_reach_store() {
@@ -176,8 +179,8 @@
 
     /// Fetches newer configuration and lists of targets from other instances.
     ///
-    /// Without this, an instance that can't use the store would keep serving by an outdated
-    /// configuration.
+    /// Without this, an instance that can't use the store would keep serving with an
+    /// outdated configuration.
     pub(crate) async fn sync_from_peers(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut source = UpdateSource::starting_with(self.borders.entropy.next_u64());
@@ -221,8 +224,8 @@
         }
     }
 
-    /// The configuration and the list of targets, as far as they are newer than those of the
-    /// requesting instance.
+    /// The configuration and the list of targets, each only if it is newer than the requesting
+    /// instance's.
     pub fn snapshot(&self, req: SnapshotRequest) -> Snapshot {
         let catalogue = self.directory.catalogue().filter(|it| it.version > req.catalogue_version);
         let list = self.directory.target_list();
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -24,11 +24,11 @@
 /// Delay before a read selects a target again if none could serve it.
 const RESELECT_DELAY: Duration = Duration::from_millis(25);
 
-/// Subtracted from the allowed age, for the time between choosing the point and the target's check of it.
+/// Subtracted from the allowed age to cover the time from choosing the point until the target checks it.
 const AGE_MARGIN: Duration = Duration::from_millis(60);
 
-/// Maximum concurrent attempts of one read. It lets the leader serve a read that two replicas don't answer, and bounds
-/// the load.
+/// Maximum concurrent attempts of one read. With three, the leader can still serve a read that two replicas don't
+/// answer.
 const MAX_CONCURRENT_ATTEMPTS: usize = 3;
 
 /// A running attempt of a read.
@@ -153,9 +153,9 @@
 
     /// Whether another attempt is due in addition to `newest`.
     ///
-    /// That is so if `newest` was sent and has no answer. If it still waits for its permit, it is withdrawn when
-    /// another target is a better choice by now. Otherwise it keeps waiting alone: a second attempt would queue and run
-    /// the read twice while targets are overloaded.
+    /// Another attempt is due if `newest` was sent and has no answer after the hedge delay. If `newest` still waits for
+    /// its permit, no attempt is added, since overloaded targets would then run the read twice; instead, `newest` is
+    /// withdrawn if another target is now the better choice.
     fn is_another_attempt_due(
         &self,
         group: &Group,
@@ -292,7 +292,7 @@
 ) -> Result<(Rc<ReadAttempt>, AttemptOutcome), DeadlinePassed> {
     match within(clock, until, rx.next()).await? {
         Some(outcome) => Ok(outcome),
-        // The caller holds a sender, so the channel can't be closed.
+        // The calling function holds a sender, so the channel can't be closed.
         None => future::pending().await,
     }
 }
--- a/crates/gullspar_direct/src/session/caller_session.rs
+++ b/crates/gullspar_direct/src/session/caller_session.rs
@@ -41,9 +41,9 @@
     idle_deadline: Option<Instant>,
     /// How the current or last statement was served.
     trace: Trace,
-    /// The access of the current statement, if it was for a target.
+    /// The access of the current statement; `None` if it needs no target.
     target_access: Option<Access>,
-    /// The other side was asked to end the session, and will end it.
+    /// The other side was asked to end the session; it is served until the other side does so.
     end_requested: bool,
 }
 
@@ -146,8 +146,9 @@
         }
     }
 
-    /// Whether shutdown, a partition or a move of the group's home closes this session now; never while a request waits
-    /// to be read.
+    /// Whether this session should end now, because of a shutdown, a partition or a move of the group's home.
+    ///
+    /// It does not end while a request waits to be read.
     fn should_end_now(&self) -> bool {
         let shutdown = &self.proxy.shutdown;
         let is_due = match self.transaction {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Sends a caller the reason why its session ends, if the connection still works.
+    /// Sends the caller the reason if its session ends because of an unreadable message.
     async fn send_error(&mut self, err: &CallerLinkError) {
         if let CallerLinkError::Unreadable(reason) = err {
             let failure = Failure::new(FailureCode::TooLarge, *reason);
@@ -205,7 +206,7 @@
     ///
     /// Fails if the key is no longer valid or now belongs to another customer during a transaction.
     fn identify(&mut self) -> Result<(), Failure> {
-        // Executing the statement reports a service that no longer exists.
+        // If the service no longer exists, the caller learns this when the statement is executed.
         let Some(route) = self.proxy.directory.route(&self.opening.service) else { return Ok(()) };
         let customer = self.proxy.identify(&route, &self.opening)?;
         if self.customer != customer && self.transaction.is_some() {
@@ -333,7 +334,9 @@
         self.acknowledge(&group, commit.answer, req.deadline).await
     }
 
-    /// Holds back the success of a write until the commit would survive the loss of its leader.
+    /// Confirms the commit of a write before its success is reported to the caller.
+    ///
+    /// If the leader was superseded meanwhile, the answer is a failure with an unknown outcome.
     async fn acknowledge(
         &mut self,
         group: &Rc<Group>,
--- a/crates/gullspar_direct/src/session/relay.rs
+++ b/crates/gullspar_direct/src/session/relay.rs
@@ -1,4 +1,4 @@
-//! Forwards a caller's session to a home, an instance that holds connections to its group.
+//! Forwards a caller's session to a home: an instance that holds the connections to the session's group.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,15 +14,15 @@
 use crate::session::refusal;
 use crate::{ForwardedSession, Member, Phase, Proxy};
 
-/// How long opening a session at a home may take before the next home is tried. It leaves room for the load after an
-/// outage, when all sessions are opened again.
+/// How long opening a session at a home may take before the next home is tried. This is long enough for the load after
+/// an outage, when all sessions are opened again.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
 
 record! {
     /// What the instance that a caller is connected to sends to the home.
     pub enum RelayMessage {
         Caller(CallerMessage),
-        /// No message follows, as the home requested with [`RelayReply::Ending`].
+        /// Reply to [`RelayReply::Ending`]: no more messages follow.
         Ended,
     }
 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Whether the home refused the session in a way that lets another home accept it.
+/// Whether the home refused the session for a reason that may not apply to another home.
 fn is_refusal(answer: &Answer) -> bool {
     answer.result.as_ref().is_err_and(|it| it.code == FailureCode::Congested)
 }
@@ -204,7 +204,7 @@
     fn check_key(&self) -> Result<(), Failure> {
         match self.proxy.directory.route(&self.opening.service) {
             Some(route) => self.proxy.identify(&route, &self.opening).map(|_| ()),
-            // The home reports a service that no longer exists.
+            // If the service no longer exists, the home reports this to the caller.
             None => Ok(()),
         }
     }
--- a/crates/gullspar_direct/src/targets/target.rs
+++ b/crates/gullspar_direct/src/targets/target.rs
@@ -38,14 +38,14 @@
 /// How long a replica that was behind a point isn't asked for that point again.
 const BEHIND_PERIOD: Duration = Duration::from_millis(60);
 
-/// The newest sample's weight in the running mean is one divided by this.
+/// Each new sample has a weight of one divided by this number in the running mean.
 const MEAN_DIVISOR: u64 = 8;
 
-/// Half-life of the part of a target's mean that exceeds the group's usual mean, so that a replica that was very slow
-/// is tried again within a few seconds.
+/// Half-life of the excess of a target's mean duration over the group's usual one. It lets a replica that was very slow
+/// be tried again within a few seconds.
 const EXCESS_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Maximum halvings of that excess; keeps the power of two within its integer type.
+/// Maximum number of halvings of that excess, which prevents an overflow of the power of two.
 const MAX_HALVINGS: u128 = 30;
 
 /// A target of a group, with the connections, permits and recent measurements of this instance.
@@ -65,7 +65,7 @@
     /// Failure score: rises with each failed statement and falls with each successful one.
     failure_score: Cell<u32>,
     behind: Cell<Option<(LogPoint, Instant)>>,
-    /// When this target, which is leaving, stops getting new work.
+    /// When the target stops getting new work; `None` if it isn't leaving.
     work_ends_at: Cell<Option<BootInstant>>,
     pub(crate) removed: Cell<bool>,
     /// Whether a check is running on behalf of a write that waits for this replica.
@@ -118,7 +118,7 @@
         if self.is_closed_to_new_work() { Err(NotRun::NoPrimary) } else { Ok(permit) }
     }
 
-    /// Sets when the target, which is leaving, stops getting new work; `None` if it isn't leaving.
+    /// Sets when the target stops getting new work because it is leaving; `None` if it isn't leaving.
     pub(crate) fn set_work_ends_at(&self, at: Option<BootInstant>) {
         self.work_ends_at.set(at);
     }
@@ -197,8 +197,8 @@
     /// Records whether a statement on the target failed.
     ///
     /// A target may answer each check and still fail many statements. A single failure may be caused by the statement
-    /// itself; from [`AVOID_SCORE`] on the target is avoided, twice as long after each further failure. Reads that try
-    /// it again show when it has recovered.
+    /// itself, so the target is avoided only when its score reaches [`AVOID_SCORE`], and twice as long after each further
+    /// failure. Reads that try it again show when it has recovered.
     pub(crate) fn record_result(&self, failed: bool, now: Instant) {
         if !failed {
             self.failure_score.set(self.failure_score.get().saturating_sub(SUCCESS_WEIGHT));
--- a/crates/gullspar_membership/src/membership.rs
+++ b/crates/gullspar_membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! One instance's part in keeping track of all.
+//! Tracks which instances are alive, by exchanging gossip with some of them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 };
 use crate::{Gossip, Member, MemberRecord, MemberState, Proximity};
 
-/// What became of a heartbeat that was taken.
+/// The result of [`Membership::handle_gossip`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GossipOutcome {
     /// The gossip contained updates that other instances should receive soon.
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Adds an address where an instance may run, to be probed.
+    /// Adds an address to probe, because an instance may run there.
     pub fn add_probe_address(&mut self, address: SocketAddr) {
         let entry = self
             .probe_addresses
@@ -127,7 +127,7 @@
         self.links.choose(&self.own.member, &others, now);
     }
 
-    /// Addresses to probe in this round, at which no instance is known.
+    /// The addresses to probe in this round: those where an unknown instance may run.
     fn addresses_to_probe(&mut self, random: u64) -> Vec<SocketAddr> {
         let is_alone = self.table.is_alone();
         let fanout = if is_alone { JOIN_FANOUT } else { PROBE_FANOUT };
@@ -156,7 +156,7 @@
         is_newer
     }
 
-    /// The address of a dead instance, or a seed; chosen by `random`.
+    /// Chooses the address of one dead instance or seed at random.
     fn address_to_revive(&self, random: u64) -> Option<SocketAddr> {
         let dead = self.table.dead().map(|it| it.member.address);
         let seeds =
@@ -204,7 +204,8 @@
 
     /// Whether the sender's view of the members differs from this instance's.
     fn has_different_view(&self, gossip: &Gossip) -> bool {
-        // An instance that has just started may know all that are alive, but none of the dead.
+        // The digests are equal if both know the same live instances, but a sender that has just
+        // started may not know the dead ones, which are counted too.
         gossip.digest != self.digest() || (gossip.counted as usize) < self.counted
     }
 
@@ -241,8 +242,8 @@
         GossipOutcome { has_updates, needs_answer }
     }
 
-    /// Raises the own incarnation if others have a wrong record of this instance; returns whether
-    /// they had.
+    /// Raises this instance's incarnation if `record`, which others have of this instance, is wrong
+    /// or is from a later incarnation; returns whether it was raised.
     ///
     /// After a restart, others may still have the record of the previous process.
     fn refute(&mut self, record: &MemberRecord) -> bool {
@@ -320,9 +321,9 @@
 
     /// Whether this instance can't reach most of the counted instances.
     ///
-    /// It is estimated from the share of silent contacts. The known deaths are no measure during a
-    /// partition: an instance does not learn of the deaths that only contacts on the other side can
-    /// detect.
+    /// It is estimated from the share of silent contacts. The number of known deaths can't be used:
+    /// during a partition, an instance does not learn of deaths that only contacts on the other side
+    /// can detect.
     pub fn is_isolated(&self, now: BootInstant) -> bool {
         let counted = self.counted(now);
         let reached = if counted <= 1 + MAX_FULL_MESH_PEERS {
