--- a/crates/gullspar/src/serve.rs
+++ b/crates/gullspar/src/serve.rs
@@ -54,9 +54,7 @@
                 log::info!("G0811 the settings were reloaded and have not changed");
             }
             Ok(reloaded) => {
-                log::warn!(
-                    "G0812 the settings have changed; the new ones take effect at the next start"
-                );
+                log::warn!("G0812 the settings have changed; they take effect at the next start");
                 settings = reloaded;
             }
             Err(findings) => {
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -26,7 +26,7 @@
 }
 
 impl Proxy {
-    /// Sends heartbeats, in full rounds at a fixed interval and early after updates; never returns.
+    /// Sends heartbeats at a fixed interval, and earlier after updates; never returns.
     pub(crate) async fn send_heartbeats(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut last_sent = LastSent::default();
--- a/crates/gullspar_direct/src/session/relay.rs
+++ b/crates/gullspar_direct/src/session/relay.rs
@@ -103,7 +103,7 @@
     answer.result.as_ref().is_err_and(|it| it.code == FailureCode::Congested)
 }
 
-/// A session that another instance serves.
+/// A caller's session that is forwarded to its home.
 pub(crate) struct Relay {
     pub(crate) proxy: Rc<Proxy>,
     pub(crate) caller: Box<dyn CallerLink>,
--- a/crates/gullspar_direct/src/targets/target.rs
+++ b/crates/gullspar_direct/src/targets/target.rs
@@ -35,7 +35,7 @@
 /// is used again within seconds.
 const MAX_FAILURE_SCORE: u32 = AVOID_SCORE + 4 * FAILURE_WEIGHT;
 
-/// How long a replica that was behind a point isn't asked for that point again.
+/// How long a replica that was behind a point is not selected again for that point.
 const BEHIND_PERIOD: Duration = Duration::from_millis(60);
 
 /// Each new sample has a weight of one divided by this number in the running mean.
