--- a/crates/gullspar_direct/src/fleet/alternate_route.rs
+++ b/crates/gullspar_direct/src/fleet/alternate_route.rs
@@ -1,8 +1,8 @@
 //! Forwards sessions to other instances while this one can't reach a group's leader.
 //!
 //! A leader that only some instances can't reach is not replaced as long as most others use it.
-//! Refused callers might retry at another instance that can't reach it either, so their sessions
-//! are forwarded.
+//! Refused callers might retry at another instance that can't reach the leader either, so their
+//! sessions are forwarded.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use crate::{Member, Proxy};
 
-/// How long this instance must have been without the leader. A leader that fails for all instances
-/// is detected by all of them earlier, and then no alternate route exists.
+/// How long the leader must have been unavailable here before sessions are forwarded. A leader that
+/// fails for all instances is detected by all of them earlier, and then no alternate route exists.
 const LEADERLESS_AFTER: Duration = Duration::from_millis(600);
 
 /// How long a refused connection counts as a sign that a target has no connection left for this
-/// instance; longer than the interval between two checks.
+/// instance. This is longer than the interval between two checks of a target.
 ///
 /// Such a target works, so [`LEADERLESS_AFTER`] need not pass. After a power loss, targets keep the
 /// connections of dead instances for seconds and may have none left for all running ones.
@@ -29,8 +29,8 @@
 const MAX_CANDIDATES: usize = 3;
 
 impl Proxy {
-    /// Instances through which callers of `group` are better served now, best first; `None` if this
-    /// instance reaches the leader or too few others see one.
+    /// Instances to forward sessions of `group` to now, best first; `None` if this instance reaches
+    /// the leader, lost it only just now, or too few others see one.
     pub(crate) fn forwarding_candidates(&self, group: &GroupName) -> Option<Vec<Member>> {
         let known = self.group(group)?;
         let leaderless_since = known.leader_unavailable_since()?;
--- a/crates/gullspar_direct/src/fleet/discovery.rs
+++ b/crates/gullspar_direct/src/fleet/discovery.rs
@@ -20,8 +20,8 @@
 
 /// How long registered instances count as members before anything is received from them.
 ///
-/// This covers instances that start at the same time but take longer. Those that run are known to
-/// all others within a second.
+/// This covers instances that start at the same time but take longer. Instances that already run
+/// are known to all others within a second.
 const EXPECTED_TTL: Duration = Duration::from_secs(3);
 
 /// How long an instance without peers waits before it queries the registry again.
@@ -57,8 +57,8 @@
 }
 
 impl Proxy {
-    /// Queries the registry, registers this instance, and queries again while no other instance is
-    /// known.
+    /// Queries the registry and registers this instance. Then queries again while no other instance
+    /// is known, and registers again when the store's era has grown; never returns.
     pub(crate) async fn discover_instances(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let deadline = clock.now() + DISCOVERY_TIMEOUT;
@@ -82,7 +82,7 @@
             }
             clock.sleep_until(clock.now() + NO_PEERS_AFTER).await;
             if self.members().len() == 1 {
-                // The addresses found are probed with heartbeats.
+                // The query adds the addresses that it finds to those that are probed.
                 let _ = self.query_registry().await;
             }
         }
--- a/crates/gullspar_direct/src/fleet/heartbeat.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeat.rs
@@ -13,7 +13,7 @@
     pub enum LeaderHealth {
         /// It answered recently as the leader.
         Leads,
-        /// It does not answer.
+        /// It does not answer, or its target is no longer listed.
         Unresponsive,
         /// Members answer, but none of them is the leader.
         NoLeader,
@@ -34,7 +34,7 @@
 }
 
 impl GroupView {
-    /// Whether anything but the age of the claim has changed since `old`.
+    /// Whether this view differs from `old` in more than a claim that has grown older.
     pub(crate) fn is_changed_from(&self, old: &GroupView) -> bool {
         let claim = |it: &GroupView| it.claim.as_ref().map(|it| (it.token, it.holder.clone()));
         let age_ms = |it: &GroupView| it.claim.as_ref().map_or(u64::MAX, |it| it.age_ms);
--- a/crates/gullspar_direct/src/fleet/heartbeats.rs
+++ b/crates/gullspar_direct/src/fleet/heartbeats.rs
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Records whether this instance can reach the store and most leaders, and checks the other
+    /// Records contact with the store and with most leaders if there is any, and checks the other
     /// instances for silence.
     pub(crate) fn check_peers(&self) {
         let now = self.borders.clock.boot_now();
@@ -179,8 +179,8 @@
 
     /// Fetches newer configuration and lists of targets from other instances.
     ///
-    /// Without this, an instance that can't use the store would keep serving with an
-    /// outdated configuration.
+    /// Without this, an instance that can't use the store would keep serving with an outdated
+    /// configuration.
     pub(crate) async fn sync_from_peers(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut source = UpdateSource::starting_with(self.borders.entropy.next_u64());
--- a/crates/gullspar_direct/src/fleet/home_groups.rs
+++ b/crates/gullspar_direct/src/fleet/home_groups.rs
@@ -33,7 +33,8 @@
     /// Brings groups, targets and their capacities in line with the directory and the current
     /// members.
     pub(crate) fn maintain_groups(&self) {
-        // Without both, every instance would consider itself a home of all groups.
+        // Before discovery has finished, this instance would consider itself a home of all groups.
+        // Without a configuration, it knows no groups.
         if !self.discovery.is_done() || self.directory.catalogue().is_none() {
             return;
         }
@@ -169,7 +170,8 @@
         Some(ranked)
     }
 
-    /// Ranks a home last for a while, after it could not be reached or broke off sessions.
+    /// Ranks a home last for [`HOME_AVOIDANCE_PERIOD`], after it could not be reached, could not
+    /// serve a group, or the connection of a session to it was lost.
     pub(crate) fn avoid_home(&self, id: &InstanceId) {
         let now = self.borders.clock.now();
         let mut avoided = self.avoided_homes.borrow_mut();
--- a/crates/gullspar_direct/src/fleet/homes.rs
+++ b/crates/gullspar_direct/src/fleet/homes.rs
@@ -9,11 +9,11 @@
 use crate::targets::admission_limit;
 use crate::{Member, Members};
 
-/// The smallest share of connections with which every instance connects itself: one for statements
-/// and one for a transaction.
+/// The smallest share of a target's connections with which every instance opens its own: one for
+/// statements and one for a transaction.
 const MIN_SHARE: usize = 2;
 
-/// Instances ranked after the homes that replace homes that can't be reached.
+/// Number of spare homes, which are ranked after the homes and replace those that can't be reached.
 const SPARE_HOMES: usize = 2;
 
 /// Minimum number of connections to a target that a home should hold.
@@ -28,11 +28,12 @@
     pub(crate) slots: u32,
 }
 
-/// Number of homes of a group in each data centre; `None` if every instance connects itself.
+/// Number of homes of a group in each data centre; `None` if every instance opens its own
+/// connections.
 ///
-/// There are no more homes than can each run a statement: together, they may use one and a half
-/// times the slots. More homes would fill the target's own queue, which knows neither priorities
-/// nor deadlines.
+/// The homes together may use one and a half times the slots, so there are only as many homes as
+/// can each run a statement within that limit. More homes would fill the target's own queue, which
+/// knows neither priorities nor deadlines.
 fn homes_per_data_centre(
     allowance: Allowance,
     members: usize,
@@ -60,7 +61,7 @@
     pub(crate) holders: usize,
 }
 
-/// The homes of `group` for instances in `own`; `None` if every instance connects itself.
+/// The homes of `group` for instances in `own`; `None` if every instance opens its own connections.
 pub(crate) fn homes(
     group: &GroupName,
     allowance: Allowance,
@@ -81,7 +82,8 @@
     Some(Homes { ranked, count, holders })
 }
 
-/// The homes of `group` in all data centres; all members if every instance connects itself.
+/// The homes of `group` in all data centres; all members if every instance opens its own
+/// connections.
 pub(crate) fn all_data_centres<'a>(
     group: &GroupName,
     allowance: Allowance,
--- a/crates/gullspar_direct/src/fleet/members.rs
+++ b/crates/gullspar_direct/src/fleet/members.rs
@@ -14,7 +14,6 @@
 }
 
 impl Members {
-    /// Creates the list of the instances `all`.
     pub(crate) fn new(all: Vec<Member>) -> Members {
         let owned = |it: Vec<&Member>| it.into_iter().cloned().collect();
         let by_data_centre = by_data_centre(&all);
--- a/crates/gullspar_direct/src/fleet/partition.rs
+++ b/crates/gullspar_direct/src/fleet/partition.rs
@@ -32,11 +32,11 @@
             || self.forwarding_candidates(&group.name).is_some()
     }
 
-    /// Whether this instance has lost contact with the other instances and with the leaders of at least half of its
+    /// Whether this instance has lost contact with most other instances and with the leaders of at least half of its
     /// groups, so that callers are better served elsewhere.
     ///
-    /// An instance that is home of no group forwards its callers to the homes of its data centre. It counts as
-    /// partitioned if none of these reaches its leaders.
+    /// An instance that is a home of no group forwards its callers to the homes of its data centre. It counts as
+    /// partitioned if it has lost contact with most other instances and none of these homes reaches its leaders.
     pub(crate) fn is_partitioned(&self) -> bool {
         let now = self.borders.clock.boot_now();
         if !self.peers.is_isolated(now) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether this instance is the home of some groups and reaches the leaders of more than half of them.
+    /// Whether this instance is a home of some groups and reaches the leaders of more than half of them.
     pub(crate) fn can_reach_most_leaders(&self) -> bool {
         2 * self.led_group_count() > self.groups().len()
     }
@@ -68,7 +68,7 @@
         }
         let should_refuse = match self.shutdown.partition_state() {
             PartitionState::Connected => false,
-            // An instance that is home of no group leaves the decision to the homes, which are in contact with leaders.
+            // An instance that is a home of no group leaves the decision to the homes, which contact the leaders.
             PartitionState::Partitioned => match self.group(&route.group) {
                 Some(group) => !self.can_serve(&group, route),
                 None => is_forwarded,
@@ -97,7 +97,7 @@
             return true;
         }
         let is_able = match self.groups().len() {
-            // It forwards all sessions.
+            // An instance that is a home of no group forwards all sessions.
             0 => self.peers.running_count() > 0,
             count => 2 * self.led_group_count() >= count,
         };
@@ -105,8 +105,8 @@
         is_able
     }
 
-    /// Checks for silent peers, sends callers elsewhere while this instance is partitioned, and keeps alternate routes to
-    /// leaders that only this instance can't reach. Never ends.
+    /// Checks for silent peers, sends callers elsewhere while this instance is partitioned, and refreshes alternate
+    /// routes to leaders that other instances reach and this one can't; never returns.
     pub(crate) async fn monitor_connectivity(self: Rc<Self>) {
         let clock = Rc::clone(&self.borders.clock);
         let mut partitioned_since = None;
--- a/crates/gullspar_direct/src/fleet/peer_table.rs
+++ b/crates/gullspar_direct/src/fleet/peer_table.rs
@@ -15,16 +15,17 @@
 use crate::fleet::views::Views;
 use crate::{Heartbeat, Members};
 
-/// How long a report counts that some instance reaches the platform's store. Contacts forward it
-/// one heartbeat at a time.
+/// How long a report that some instance reaches the platform's store is valid. It spreads from
+/// contact to contact with their heartbeats.
 const STORE_CONTACT_TTL: Duration = Duration::from_secs(2);
 
-/// How long a report counts that a home in this data centre reaches its leaders. It takes a few
+/// How long a report that a home in this data centre reaches its leaders is valid. It takes a few
 /// heartbeats to spread.
 const HOME_CONTACT_TTL: Duration = Duration::from_millis(700);
 
 /// How long an instance that no longer monitors a group still sends heartbeats to those that do.
-/// Without them, they would count its last view for as long as they count dead instances.
+/// Without these heartbeats, the receivers would count its last view for as long as they count dead
+/// instances.
 const GROUP_PEER_TTL: Duration = Duration::from_secs(2);
 
 /// A version of the list of members; it grows with each change.
@@ -102,7 +103,7 @@
         outcome
     }
 
-    /// Notified when there are membership updates to forward.
+    /// Listens for membership updates to forward.
     pub(crate) fn listen(&self) -> EventListener {
         self.changed.listen()
     }
@@ -284,8 +285,8 @@
         self.membership.borrow().is_isolated(now)
     }
 
-    /// Percentage of the fleet in data centres of which this instance reaches at least one
-    /// instance.
+    /// Percentage of the fleet's instances that are in this data centre or in one where this
+    /// instance reaches at least one other.
     pub(crate) fn reachable_percent(&self, now: BootInstant) -> u32 {
         self.membership.borrow().reachable_percent(now)
     }
--- a/crates/gullspar_direct/src/fleet/registry.rs
+++ b/crates/gullspar_direct/src/fleet/registry.rs
@@ -1,4 +1,5 @@
-//! The registry, through which instances find each other when none of the known addresses answers.
+//! The registry, through which instances find each other at startup, and later while they know no
+//! others.
 
 use futures::future::LocalBoxFuture;
 use quick_error::quick_error;
--- a/crates/gullspar_direct/src/fleet/views.rs
+++ b/crates/gullspar_direct/src/fleet/views.rs
@@ -18,7 +18,7 @@
 /// Age from which a view of a group says nothing about its leader any more.
 const VIEW_TTL: Duration = Duration::from_millis(700);
 
-/// Age from which a view no longer shows that no other leader has been decided on.
+/// How long a view counts as evidence that no other leader has been decided on.
 ///
 /// This tolerates one lost heartbeat. It is shorter than the time that instances on the other side
 /// of a partition need to promote a successor.
@@ -50,7 +50,7 @@
         self.received.borrow_mut().retain(|_, it| now.since(it.at) < DEAD_COUNTED_PERIOD);
     }
 
-    /// Names of the instances that monitor `group` and are not leaving.
+    /// Ids of the instances that monitor `group` and are not leaving.
     pub(crate) fn monitoring_ids(&self, group: &GroupName, now: BootInstant) -> Vec<InstanceId> {
         self.select(now, ALIVE_TIMEOUT, |it| {
             let has_view = it.view(group).is_some();
@@ -82,7 +82,7 @@
         1 + self.select(now, DEAD_COUNTED_PERIOD, is_monitoring).len()
     }
 
-    /// Whether other instances see `leader` leading `group` and are more than half of those
+    /// Whether the other instances that see `leader` leading `group` are more than half of those
     /// counted.
     pub(crate) fn is_seen_leading_by_majority(
         &self,
@@ -98,11 +98,11 @@
         2 * self.select(now, VIEW_TTL, sees).len() > self.counted_for(group, now)
     }
 
-    /// Whether a majority of the counted instances, this one included, has sent a view since
-    /// `since` that does not oppose `leader` of `group`.
+    /// Whether a majority of the counted instances does not oppose `leader` of `group`: this one, and
+    /// those from which such a view arrived after `since` and within [`CONFIRMATION_TTL`].
     ///
-    /// A promotion requires that at least half of them oppose the leader, so none was decided on
-    /// before `since`.
+    /// To replace a listed leader that is not leaving, at least half of them must oppose it. So no
+    /// such promotion was decided on before `since`.
     pub(crate) fn is_leader_confirmed(
         &self,
         group: &GroupName,
@@ -145,7 +145,7 @@
     }
 
     /// Number of other instances that recently saw no leader in `group`, or saw `leader`
-    /// unresponsive.
+    /// unresponsive; any unresponsive leader counts if `leader` is `None`.
     pub(crate) fn count_against_leader(
         &self,
         group: &GroupName,
@@ -166,7 +166,7 @@
     }
 
     /// Responsive instances whose configuration is newer than `version` or whose list of targets is
-    /// newer than `revision`.
+    /// newer than `revision`; `None` as `revision` ignores the lists of targets.
     ///
     /// A list of targets is only accepted from an instance with recent store contact. The list of
     /// an instance that is partitioned from the store may date from a moment when most entries had
