--- a/crates/gullspar_direct/src/groups/candidate_selection.rs
+++ b/crates/gullspar_direct/src/groups/candidate_selection.rs
@@ -15,7 +15,7 @@
 use crate::targets::target::Target;
 
 impl FailoverCoordinator {
-    /// The member to promote: the one with the longest log; `None` if there is none yet.
+    /// The member to promote: the one with the longest log; `None` if no member can be promoted yet.
     ///
     /// Writes that the old leader acknowledged beyond the end of that log are lost. A leader that is leaving
     /// still runs, so its replacement waits until the candidate has its whole log.
@@ -51,7 +51,7 @@
     /// The member that the previous claim promoted may have led a term later than the claim's `over_term`, and
     /// may have acknowledged writes that a partitioned instance knows nothing of. A log that does not reach
     /// beyond `over_term` lacks them. Such a log is accepted only if the promoted member itself shows that it
-    /// never led, or if it has been removed from the group.
+    /// never led, or if that member has been removed from the group.
     fn is_up_to_date(&self, best: &Candidate, previous: Option<&Claim>, all: &[Candidate]) -> bool {
         let Some(previous) = previous else { return true };
         let is_later = |it: &Candidate| it.point.is_some_and(|it| it.term > previous.over_term);
--- a/crates/gullspar_direct/src/groups/claim_tracker.rs
+++ b/crates/gullspar_direct/src/groups/claim_tracker.rs
@@ -23,7 +23,7 @@
 pub struct ClaimTracker {
     lease: Duration,
     newest: Option<KnownClaim>,
-    /// The claim before the newest, whose lease may still be running.
+    /// Of the claims that were the newest before, the one whose holder acted last. Its lease may still be running.
     ///
     /// A store that is restored from an older copy loses claims and may grant a new one while the holder of a
     /// lost claim is still active.
@@ -38,7 +38,8 @@
 }
 
 impl ClaimTracker {
-    /// Creates an empty tracker. For `lease` after an act, only the holder may act while it is running.
+    /// Creates an empty tracker. For `lease` after a holder has acted, no other instance may act unless the holder
+    /// no longer runs.
     pub fn new(lease: Duration) -> ClaimTracker {
         ClaimTracker { lease, newest: None, previous: None }
     }
@@ -73,7 +74,7 @@
 
     /// Applies a report that the instance `from` sent and that arrived at `now`.
     ///
-    /// For a known claim only reports of its holder count: each instance that forwards a report makes the claim
+    /// For a known claim, only reports from its holder count: each instance that forwards a report makes the claim
     /// look younger by the delay on the way.
     pub fn apply_report(&mut self, report: &ClaimReport, from: &InstanceId, now: BootInstant) {
         let is_known = self.newest.as_ref().is_some_and(|it| it.token >= report.token);
@@ -103,7 +104,7 @@
     /// Whether the instance `own` may act at `now`.
     ///
     /// Two instances that promote alternately undo each other's promotions, and the group changes its leader
-    /// several times in a row. So only the last holder may act until its lease ends or the instance is gone.
+    /// several times in a row. So only the last holder may act until its lease ends or it no longer runs.
     pub fn can_act(
         &self,
         own: &InstanceId,
--- a/crates/gullspar_direct/src/groups/claims.rs
+++ b/crates/gullspar_direct/src/groups/claims.rs
@@ -5,8 +5,8 @@
 use quick_error::quick_error;
 
 value! {
-    /// A number from the store that grows with every claim; a promotion with a lower one than the highest
-    /// used has no effect.
+    /// A number from the store that grows with every claim. A promotion has no effect if its token is lower than
+    /// the highest one used.
     pub struct FencingToken(pub u64);
 }
 
@@ -78,7 +78,7 @@
         Refused(reason: String) {
             display("the platform refused: {reason}")
         }
-        /// No answer arrived: the order may have been carried out, or may be within seconds.
+        /// No answer arrived: the order may have been carried out, or may still be carried out within seconds.
         NoAnswer(reason: String) {
             display("no answer from the platform: {reason}")
         }
--- a/crates/gullspar_direct/src/groups/failover.rs
+++ b/crates/gullspar_direct/src/groups/failover.rs
@@ -38,7 +38,7 @@
     pub(crate) peers: Rc<PeerTable>,
     pub(crate) group: Rc<Group>,
     pub(crate) shutdown: Rc<Shutdown>,
-    /// Until this instant the group has not been observed for long enough to decide.
+    /// When the group has been observed for long enough to decide on a failover.
     pub(crate) settle_until: Instant,
 }
 
@@ -187,7 +187,7 @@
     /// Orders the promotion, and repeats the order with the same token while no answer arrives.
     ///
     /// Repeating is safe: a second execution changes nothing, and a late one has no effect once a higher token was
-    /// used. Without it a lost order would leave the group without a leader until the next claim.
+    /// used. Without the repetition, a lost order would leave the group without a leader until the next claim.
     async fn order_promotion(
         &self,
         claim: &Claim,
--- a/crates/gullspar_direct/src/groups/failover_timing.rs
+++ b/crates/gullspar_direct/src/groups/failover_timing.rs
@@ -20,7 +20,7 @@
 /// Covers the delivery of the order, the promotion itself and the next check of the member.
 pub(crate) const PROMOTION_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// How often a promotion is ordered with the same token while the platform does not answer.
+/// Maximum number of times that a promotion is ordered with the same token if the platform does not answer.
 pub(crate) const MAX_ORDER_ATTEMPTS: u32 = 4;
 
 /// Delay before the next attempt after the store or the platform failed.
@@ -29,7 +29,7 @@
 /// How long a candidate may take to report where its log ends.
 pub(crate) const POINT_QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long the replacement of a leaving leader waits for a candidate that has all of its log.
+/// How long the replacement of a leaving leader waits for a candidate that has the leader's whole log.
 ///
 /// Leaving members keep serving for about seven seconds; the handover must be complete before that.
 pub(crate) const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(4500);
--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -36,7 +36,7 @@
     claims: RefCell<ClaimTracker>,
     /// How long a replica typically needs to receive a commit, in microseconds.
     typical_lag_us: Cell<u64>,
-    /// Until this instant replicas are considered too far behind for writes to wait for them.
+    /// When replicas are no longer considered too far behind for writes to wait for them.
     lagging_until: Cell<Option<Instant>>,
     /// When a target last refused this instance a connection because of its connection limit.
     connection_limit_hit_at: Cell<Option<Instant>>,
@@ -131,7 +131,7 @@
         leader.is_some_and(|it| it.spec().leaving)
     }
 
-    /// How long replicas typically need to receive a commit, and so the delay before the first poll for one.
+    /// How long replicas typically need to receive a commit. The first poll for a commit is delayed by this time.
     pub(crate) fn typical_lag(&self) -> Duration {
         Duration::from_micros(self.typical_lag_us.get())
     }
@@ -147,8 +147,8 @@
 
     /// Updates the typical lag: a replica was seen to have a commit `took` after it was made.
     ///
-    /// The sample is reduced by a tenth, because polls start after the typical lag and would never see a shorter
-    /// one otherwise.
+    /// The sample is reduced by a tenth. Otherwise the typical lag would never fall, because polls start only after
+    /// it.
     pub(crate) fn update_typical_lag(&self, took: Duration) {
         let sample = took.as_micros() as u64 * 9 / 10;
         self.typical_lag_us.set((self.typical_lag_us.get() * 7 + sample) / 8);
@@ -172,12 +172,12 @@
         self.leader_unavailable_since.set(since);
     }
 
-    /// Whether a target has refused this instance a connection because of its limit since `instant`.
+    /// Whether a target has refused this instance a connection because of its connection limit since `instant`.
     pub(crate) fn has_hit_connection_limit_since(&self, instant: Instant) -> bool {
         self.connection_limit_hit_at.get().is_some_and(|at| at >= instant)
     }
 
-    /// Records that a target refused this instance a connection because of its limit.
+    /// Records that a target refused this instance a connection because of its connection limit.
     pub(crate) fn record_connection_limit(&self, now: Instant) {
         self.connection_limit_hit_at.set(Some(now));
     }
@@ -193,7 +193,7 @@
         self.notify();
     }
 
-    /// Records that `member`, asked at `begun`, answered as the leader with the end of its log at `point`.
+    /// Records that `member`, asked at `requested_at`, answered as the leader with the end of its log at `point`.
     pub(crate) fn record_leader(
         &self,
         member: &MemberName,
@@ -226,15 +226,15 @@
         self.notify();
     }
 
-    /// Adds a position that the leader returned with an answer to a request sent at `begun`.
+    /// Adds a position that the leader returned with an answer to a request sent at `requested_at`.
     pub(crate) fn add_position_sample(&self, point: LogPoint, requested_at: BootInstant) {
         if point.term >= self.newest_term.get() {
             self.position_samples.borrow_mut().add(PositionSample { requested_at, point });
         }
     }
 
-    /// The oldest position sample taken at most `max_age` before `now`: it covers every commit acknowledged
-    /// before that age.
+    /// The oldest position sample requested at most `max_age` before `now`. It covers every commit that was
+    /// acknowledged earlier than that.
     pub(crate) fn position_sample_within(
         &self,
         now: BootInstant,
@@ -253,7 +253,7 @@
         self.claims.borrow_mut()
     }
 
-    /// Whether another leader may have been ordered: a claim holder has acted within the promotion timeout and
+    /// Whether the promotion of another leader may have been ordered: a claim holder acted within its timeout and
     /// since the current leader was first seen.
     pub(crate) fn is_being_replaced(&self, now: BootInstant) -> bool {
         let earliest = now.minus(failover_timing::PROMOTION_TIMEOUT);
@@ -305,7 +305,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Listens for a change of the leader or of its state.
+    /// Listens for a change of the group: of its leader, its targets or their state.
     pub(crate) fn listen(&self) -> EventListener {
         self.changed.listen()
     }
