--- a/crates/gullspar_direct/src/writing/confirmation.rs
+++ b/crates/gullspar_direct/src/writing/confirmation.rs
@@ -53,7 +53,9 @@
 }
 
 impl Proxy {
-    /// Waits until `commit` would survive the failure of its leader, or until `deadline`.
+    /// Determines whether `commit` would survive the failure of its leader, and waits for replicas to receive it.
+    ///
+    /// A commit that is still undecided at `deadline` counts as superseded.
     pub(crate) async fn confirm_commit(
         &self,
         group: &Rc<Group>,
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -240,8 +240,8 @@
 
     /// Tries to begin the transaction on one target.
     ///
-    /// After an error nothing of the transaction remains there and the caller has got no answer, so another target
-    /// may be tried.
+    /// After an error, the transaction has left nothing on that target and the caller has received no answer, so
+    /// another target may be tried.
     async fn begin_on(
         &mut self,
         proxy: &Rc<Proxy>,
