--- a/crates/gullspar_statement/src/lib.rs
+++ b/crates/gullspar_statement/src/lib.rs
@@ -1,6 +1,6 @@
 //! Statements, answers, and the traits for connections to callers and targets, independent of any protocol.
 //!
-//! Protocols decode into these types once; routing, queueing and retries work on nothing else.
+//! Each protocol decodes its messages into these types; routing, queueing and retries use only these.
 
 mod answer;
 mod caller_link;
--- a/crates/gullspar_statement/src/target_spec.rs
+++ b/crates/gullspar_statement/src/target_spec.rs
@@ -5,7 +5,7 @@
 use gullspar_model::{DataCentre, GroupName, MemberName, record};
 
 impl TargetSpec {
-    /// Whether `newer` has a later start of the target's process.
+    /// Whether the target's process was restarted between this entry and `newer`.
     pub fn is_restarted_in(&self, newer: &TargetSpec) -> bool {
         newer.started_ms > self.started_ms
     }
@@ -28,9 +28,10 @@
         pub group: GroupName,
         pub address: SocketAddr,
         pub data_centre: DataCentre,
-        /// The number of statements that it runs at once.
+        /// The number of statements that the target runs at once.
         pub slots: u32,
-        /// Whether it has announced that it will shut down, and so will get no more new work.
+        /// Whether the target has announced that it will shut down. A replica then gets no new reads, and a leader gets
+        /// new work only for a limited time.
         pub leaving: bool,
         /// When its process started, in milliseconds since 1970 by its own clock; `None` if it does not report this.
         ///
