--- a/crates/gullspar_direct/src/session/caller_opening.rs
+++ b/crates/gullspar_direct/src/session/caller_opening.rs
@@ -18,7 +18,7 @@
     serve(proxy, link, None).await;
 }
 
-/// Serves a caller whose session another instance has forwarded; it is not forwarded again.
+/// Serves a caller whose session another instance has forwarded; the session is not forwarded again.
 pub async fn serve_relayed_caller(
     proxy: Rc<Proxy>,
     link: Box<dyn CallerLink>,
--- a/crates/gullspar_direct/src/session/caller_session.rs
+++ b/crates/gullspar_direct/src/session/caller_session.rs
@@ -19,7 +19,7 @@
 use crate::writing::transaction::Transaction;
 use crate::{Phase, Proxy, Route, SessionValues};
 
-/// A read is sent to a second target after this fraction of the service's latency objective.
+/// A read is sent to a second target after the service's latency objective divided by this number.
 const HEDGE_DELAY_DIVISOR: u64 = 2;
 
 /// Lower limit of the hedge delay, so that a short objective does not double the load.
@@ -43,7 +43,7 @@
     trace: Trace,
     /// The access of the current statement; `None` if it needs no target.
     target_access: Option<Access>,
-    /// The other side was asked to end the session; it is served until the other side does so.
+    /// Whether the other side was asked to end the session; the session is served until the other side ends it.
     end_requested: bool,
 }
 
@@ -148,7 +148,7 @@
 
     /// Whether this session should end now, because of a shutdown, a partition or a move of the group's home.
     ///
-    /// It does not end while a request waits to be read.
+    /// It does not end while a request waits to be read, or after the other side was asked to end it.
     fn should_end_now(&self) -> bool {
         let shutdown = &self.proxy.shutdown;
         let is_due = match self.transaction {
@@ -204,7 +204,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the key is no longer valid or now belongs to another customer during a transaction.
+    /// Fails if the key is no longer valid, or if an open transaction belongs to another customer.
     fn identify(&mut self) -> Result<(), Failure> {
         // If the service no longer exists, the caller learns this when the statement is executed.
         let Some(route) = self.proxy.directory.route(&self.opening.service) else { return Ok(()) };
@@ -360,7 +360,7 @@
     }
 
     /// Counts an operation against its customer's limit before it runs. A transaction counts as one operation, at its
-    /// first statement.
+    /// first statement, or at its commit if it ran none.
     ///
     /// # Errors
     ///
--- a/crates/gullspar_direct/src/session/forwarded_session.rs
+++ b/crates/gullspar_direct/src/session/forwarded_session.rs
@@ -16,7 +16,7 @@
     /// The configuration by which an instance forwarded a session.
     pub struct ForwardedSession {
         pub catalogue_version: u64,
-        /// The group that serves the session there.
+        /// The group to which that configuration routes the session's service.
         pub group: GroupName,
     }
 }
@@ -32,7 +32,8 @@
         can_admit || catalogue.version >= sender.catalogue_version
     }
 
-    /// Waits briefly until this instance's configuration is as new as the sender's; `false` if it isn't in time.
+    /// Waits briefly until this instance can admit the session or has a configuration as new as the sender's; `false`
+    /// if neither happens in time.
     ///
     /// A home that returns from a suspension or a partition has an old configuration for a moment. It must not refuse a
     /// service that the sender already knows.
--- a/crates/gullspar_direct/src/session/opening.rs
+++ b/crates/gullspar_direct/src/session/opening.rs
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the configuration no longer contains the session's key.
+    /// Fails if the route needs a key and the session's key belongs to no customer.
     pub(crate) fn identify(
         &self,
         route: &Route,
--- a/crates/gullspar_direct/src/session/relay.rs
+++ b/crates/gullspar_direct/src/session/relay.rs
@@ -56,7 +56,9 @@
     link: Box<dyn HomeLink>,
 }
 
-/// Opens a session at the first of `homes` that accepts it; returns the answer to the opening as well.
+/// Opens a session at the first of `homes` that answers with anything but [`FailureCode::Congested`].
+///
+/// Returns the home and its answer, which may be another failure; `None` if there is no such home.
 pub(crate) async fn open(
     proxy: &Proxy,
     homes: &[Member],
@@ -112,7 +114,7 @@
     /// Messages that are not yet answered.
     unanswered: usize,
     status: TransactionStatus,
-    /// The home asked to end the session.
+    /// Whether the home asked to end the session.
     ending: bool,
 }
 
@@ -227,7 +229,7 @@
         Ok(true)
     }
 
-    /// Reports that the outcome of an unanswered request is unknown, because the home may have run it.
+    /// Avoids the home, and reports that the outcome of an unanswered request is unknown, because it may have run.
     async fn handle_home_loss(&mut self) -> Result<(), CallerLinkError> {
         log::info!(home = self.home.id.as_str(), unanswered = self.unanswered; "G0747 the connection to a session's home was lost");
         self.proxy.avoid_home(&self.home.id);
@@ -240,7 +242,7 @@
     }
 }
 
-/// The answer when no home can be reached.
+/// The answer when no home can serve the session.
 pub(crate) fn no_home() -> Answer {
     Answer::failed(refusal::not_run(NotRun::Unreachable), TransactionStatus::Idle)
 }
--- a/crates/gullspar_direct/src/session/request.rs
+++ b/crates/gullspar_direct/src/session/request.rs
@@ -24,11 +24,11 @@
     pub(crate) id: RequestId,
     pub(crate) body: Body,
     pub(crate) access: Access,
-    /// Whether it commits a transaction.
+    /// Whether the statement commits a transaction.
     pub(crate) commits: bool,
     /// The customer that the statement is for.
     pub(crate) customer: Option<CustomerName>,
-    /// The session's values, shared with it.
+    /// A copy of the session's values.
     pub(crate) values: Rc<BTreeMap<ArcStr, ArcStr>>,
     pub(crate) freshness: Freshness,
     /// The position of the session's newest own commit.
@@ -64,7 +64,7 @@
             Body::Text(text) => TargetCommand::Run { id, text: text.clone(), at_least },
             Body::Prepared { definition, arguments } => TargetCommand::Execute {
                 id,
-                // The preceding commands prepared it, so it has a name.
+                // The preceding commands prepared the statement, so it has a name.
                 name: connection.prepared_name(definition).unwrap_or_default(),
                 arguments: arguments.clone(),
                 at_least,
--- a/crates/gullspar_direct/src/session/shutdown.rs
+++ b/crates/gullspar_direct/src/session/shutdown.rs
@@ -57,7 +57,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Whether the instance is partitioned.
+    /// The current partition state.
     pub fn partition_state(&self) -> PartitionState {
         self.partition_state.get()
     }
@@ -79,7 +79,7 @@
             || self.partition_state.get() == PartitionState::OutOfRotation
     }
 
-    /// Notified at each change. Call it before reading the phase, so that no change is missed.
+    /// Returns a listener for the next change. Call this before reading the phase, so that no change is missed.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
@@ -93,7 +93,7 @@
         self.sessions.set(self.sessions.get() + 1);
     }
 
-    /// Does not notify: otherwise each session that ends would wake all the others.
+    /// Counts a session as closed. This sends no notification, which would wake all other sessions.
     pub(crate) fn session_closed(&self) {
         self.sessions.set(self.sessions.get() - 1);
     }
--- a/crates/gullspar_direct/src/session/trace.rs
+++ b/crates/gullspar_direct/src/session/trace.rs
@@ -5,10 +5,10 @@
 /// Logged in place of an absent value.
 const NONE: &str = "-";
 
-/// The target that a statement was sent to last, and what was required of it.
+/// The target of a statement's last attempt, and what was required of it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Trace {
-    /// The target that the statement was sent to last.
+    /// The target of the last attempt; the statement may not have been sent to it.
     pub(crate) member: Option<MemberName>,
     /// Whether that target was the group's leader.
     pub(crate) on_leader: bool,
@@ -16,12 +16,12 @@
     pub(crate) at_least: Option<LogPoint>,
     /// Age in milliseconds of the position sample that gave this point, when the target was selected.
     pub(crate) sample_age_ms: Option<u64>,
-    /// The number of targets that the statement was sent to.
+    /// The number of attempts, including those in which the statement was not sent.
     pub(crate) tries: u32,
 }
 
 impl Trace {
-    /// The name of the target that the statement was sent to last.
+    /// The name of the target of the last attempt.
     pub(crate) fn member(&self) -> &str {
         self.member.as_ref().map_or(NONE, MemberName::as_str)
     }
