--- a/crates/gullspar_direct/src/targets/attempt.rs
+++ b/crates/gullspar_direct/src/targets/attempt.rs
@@ -202,8 +202,8 @@
             self.target.record_behind(point, clock.now());
         }
         if !answers.iter().all(Answer::is_plain_success) {
-            // The connection may lack the session's values, so it isn't reused.
-            log::warn!(request = req.id.as_str(), member = self.target.member().as_str(); "G0712 a target refused to set the values of a session");
+            // The connection may lack the session's values or prepared statement, so it isn't reused.
+            log::warn!(request = req.id.as_str(), member = self.target.member().as_str(); "G0712 a target refused to set the values or prepare the statement of a session");
             return Ok((answer, None));
         }
         Ok((answer, Some(lease)))
--- a/crates/gullspar_direct/src/targets/connection_pool.rs
+++ b/crates/gullspar_direct/src/targets/connection_pool.rs
@@ -27,7 +27,7 @@
 
 /// Percentage of this instance's share of connections that may stay idle.
 ///
-/// A target keeps the connections of instances that lost power for some seconds. Enough must be free for those
+/// For some seconds, a target keeps the connections of instances that lost power. Enough must be free for those
 /// instances when they restart, and for instances that take over from one that leaves.
 const MAX_IDLE_PERCENT: u32 = 50;
 
@@ -40,7 +40,7 @@
 /// How long a check waits while statements open connections.
 const CHECK_WAIT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Connections to one target, open or idle, each for one customer.
+/// Connections to one target, in use or idle, each for one customer.
 pub(crate) struct ConnectionPool {
     clock: Rc<dyn Clock>,
     entropy: Rc<dyn Entropy>,
@@ -204,8 +204,8 @@
 
     /// Makes room for another connection, and returns whether one may be opened now.
     ///
-    /// Closes the longest idle connections if the idle limit or the connection limit is reached; a full target accepts
-    /// a new connection in place of a closed one.
+    /// Closes the longest idle connections if the idle limit or the connection limit is reached, or if the throttle
+    /// delays the next connection; a full target accepts a new connection in place of a closed one.
     fn make_room(&self, now: Instant) -> bool {
         while self.idle.len() >= self.max_idle() {
             if !self.evict_oldest_idle() {
@@ -277,7 +277,7 @@
         self.record_in_use(&customer);
         self.dials.set(self.dials.get() + 1);
         let _dial = Dial { pool: self };
-        // Counts the connection as open from here on; dropping this future drops the lease and undoes that.
+        // Dropping the lease, also with this future, undoes the counts of open connections and of those in use.
         let mut lease = Lease {
             pool: Rc::clone(self),
             customer,
--- a/crates/gullspar_direct/src/targets/dial_throttle.rs
+++ b/crates/gullspar_direct/src/targets/dial_throttle.rs
@@ -34,7 +34,7 @@
 }
 
 impl DialThrottle {
-    /// The earliest time of the next attempt; `None` if one may start now.
+    /// The earliest time of the next attempt, possibly in the past; `None` if none was refused since the last success.
     pub(crate) fn next_dial_at(&self) -> Option<Instant> {
         self.next_dial_at.get()
     }
--- a/crates/gullspar_direct/src/targets/pacing.rs
+++ b/crates/gullspar_direct/src/targets/pacing.rs
@@ -14,7 +14,7 @@
 /// A target counts as congested once its mean statement time reaches this percentage of the fastest target's in the
 /// group.
 ///
-/// Leaves room for differences of up to a half that come from the mix of statements on each target.
+/// Smaller differences may come from the mix of statements on each target.
 const CONGESTED_PERCENT: u128 = 200;
 
 /// Maximum cooldown after a statement, as a multiple of the time that the statement took.
@@ -50,8 +50,8 @@
 
 /// The cooldown of a permit after a statement that took `taken`.
 ///
-/// `mean` is the recent mean statement time on this target, `usual` that on the fastest target of the group. Zero
-/// unless the target is congested and the share is less than one statement.
+/// `mean` is the recent mean statement time on this target, `usual` that on the fastest target of the group. The
+/// cooldown is zero unless the target is congested and the share is less than one statement.
 pub fn cooldown_after(
     share: Share,
     taken: Duration,
@@ -64,7 +64,7 @@
     if !is_congested || percent >= 100 {
         return Duration::ZERO;
     }
-    // After a burst, statements took long; cooldowns as long as those would leave slots idle.
+    // Statements of a burst take long; cooldowns in proportion to their full duration would leave slots idle.
     let taken = taken.min(usual * CONGESTED_PERCENT as u32 / 100);
     (taken * (100 - percent) / percent).min(taken * MAX_COOLDOWN_FACTOR)
 }
--- a/crates/gullspar_direct/src/targets/pooled_connection.rs
+++ b/crates/gullspar_direct/src/targets/pooled_connection.rs
@@ -5,9 +5,9 @@
 use arcstr::ArcStr;
 use gullspar_statement::{Answer, Definition, TargetCommand, TargetLink, TargetLinkError};
 
-/// Prepared statements on a connection before it is reset.
+/// Number of prepared statements on a connection at which the connection is reset.
 ///
-/// Callers choose the statements, so their number has no bound of its own, and the target keeps each until a reset.
+/// Callers may prepare any number of different statements, and the target keeps each until a reset.
 const MAX_PREPARED: usize = 256;
 
 /// A connection that sessions use one after the other.
--- a/crates/gullspar_direct/src/targets/target_watch.rs
+++ b/crates/gullspar_direct/src/targets/target_watch.rs
@@ -1,4 +1,4 @@
-//! Health checks of a target: whether it answers, whether it leads, and where its log ends.
+//! Health checks of a target: whether it answers, whether it is the leader, and where its log ends.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 /// Interval between checks of a replica.
 const REPLICA_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Interval between checks while the group has no leader or the target missed its last check.
+/// Interval between checks while the group has no responsive leader or the target missed its last check.
 const FAILING_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
 /// How long a target may take to answer a check; answering needs no slot.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How long opening a connection for a check may take; it waits for a slot behind statements.
+/// How long opening a connection for a check may take, including its wait for a slot behind statements.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time without an answer after which a check opens a connection of its own if statements use all others.
 const OVERDUE_AFTER: Duration = Duration::from_millis(250);
 
-/// Delay of the next check after a target refused a connection because it has too many.
+/// Delay of the next check after a target refused a connection because it was congested or had too many connections.
 const FULL_CHECK_DELAY: Duration = Duration::from_millis(200);
 
 /// Result of one check.
