--- a/crates/gullspar_direct/src/borders.rs
+++ b/crates/gullspar_direct/src/borders.rs
@@ -26,7 +26,7 @@
         deadline: Instant,
     ) -> LocalBoxFuture<'static, Result<Snapshot, PeerError>>;
 
-    /// Opens a caller's session at the instance at `to`, and forwards messages over the returned link.
+    /// Opens a caller's session at the instance at `to`. The session's messages are forwarded over the returned link.
     fn open_session(
         &self,
         to: SocketAddr,
--- a/crates/gullspar_direct/src/configuration/directory.rs
+++ b/crates/gullspar_direct/src/configuration/directory.rs
@@ -13,17 +13,17 @@
 
 /// How long a target is still used after it vanished from the list.
 ///
-/// Entries expire while the platform's store is unavailable although their targets are alive, and are listed again about
-/// two seconds after its return. Removing them at once would take healthy targets out of service.
+/// While the platform's store is unavailable, entries expire although their targets are alive. They are listed again
+/// about two seconds after the store returns. Removing them at once would take healthy targets out of service.
 const EXPIRY_GRACE_PERIOD: Duration = Duration::from_millis(2500);
 
 /// How long an entry that reappeared with an older copy of the store is not used unless its target writes it again.
-/// Targets that are alive do so within this time.
+/// Targets that are alive write their entries within this time.
 const VERIFICATION_PERIOD: Duration = Duration::from_secs(2);
 
 struct ListedTarget {
     spec: Rc<TargetSpec>,
-    /// When it is removed; set when the platform stopped listing it.
+    /// When the target is removed; set once the platform no longer lists it.
     expires_at: Option<Instant>,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Directory {
-    /// Puts `catalogue` in force unless the same or a newer version is; returns whether it did.
+    /// Puts `catalogue` in force unless the same or a newer version already is; returns whether it was put in force.
     ///
     /// Watches, lists and other instances deliver configurations in any order. Without the comparison, a late one would
     /// restore removed routes.
@@ -57,8 +57,9 @@
         true
     }
 
-    /// Applies a list of targets unless a newer one was applied; returns whether it did. Targets that are no longer listed
-    /// expire some time after `now`.
+    /// Applies a list of targets unless a newer one was applied; returns whether the list was applied.
+    ///
+    /// Targets that are no longer listed expire some time after `now`.
     pub fn apply_targets(&self, list: TargetList, now: Instant) -> bool {
         if self.target_revision.borrow().is_some_and(|it| it > list.revision) {
             return false;
@@ -76,7 +77,7 @@
         let mut outdated = BTreeSet::new();
         for spec in list.targets {
             let known = targets.get(&spec.member);
-            // The entry is outdated. The known one expires unless the target writes a newer one.
+            // The listed entry is outdated. The known one expires unless the target writes a newer one.
             if known.is_some_and(|it| it.spec.is_newer_than(&spec)) {
                 log::warn!(member = spec.member.as_str(), beat = spec.beat; "G0757 the listed entry of a target is older than the known one");
                 outdated.insert(spec.member);
@@ -179,7 +180,7 @@
         self.targets.borrow().values().map(|it| Rc::clone(&it.spec)).collect()
     }
 
-    /// The number of statements that a target of `group` runs at once; 0 if no target is listed.
+    /// The largest number of statements that any one target of `group` runs at once; 0 if the group has no target.
     pub fn slots(&self, group: &GroupName) -> u32 {
         let mut slots = self.slots.borrow_mut();
         let known = slots.get_or_insert_with(|| {
@@ -215,7 +216,7 @@
         self.catalogue.borrow().is_some() && !self.targets.borrow().is_empty()
     }
 
-    /// Notified at each change. Call it before reading, so that no change is missed.
+    /// Returns a listener for the next change. Call this before reading the state, so that no change is missed.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
--- a/crates/gullspar_direct/src/configuration/store_contact.rs
+++ b/crates/gullspar_direct/src/configuration/store_contact.rs
@@ -1,4 +1,4 @@
-//! Decides which instances follow the platform's store, and tracks whether it answers this one.
+//! Decides which instances follow the platform's store, and tracks whether the store answers this instance.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::fleet::homes;
 use crate::{Member, Proxy};
 
-/// Time without an answer of the store after which the list of targets is fetched from other instances.
+/// Time without an answer from the store after which the list of targets is fetched from other instances.
 const STORE_SILENT_AFTER: Duration = Duration::from_secs(3);
 
 /// Fleet size up to which all instances follow the store.
@@ -62,7 +62,7 @@
 
     /// Whether this instance gets its list of targets from the store, not from other instances.
     ///
-    /// Only followers do. An instance that read the store once and then leaves it to others must not keep that list:
+    /// Only followers do. An instance that read the store once without being a follower must not rely on that list:
     /// targets may be missing from it right after an outage of the store.
     pub(crate) fn has_targets_from_store(&self) -> bool {
         self.can_reach_store() && self.is_store_follower()
--- a/crates/gullspar_direct/src/configuration/update_source.rs
+++ b/crates/gullspar_direct/src/configuration/update_source.rs
@@ -18,7 +18,7 @@
 }
 
 impl UpdateSource {
-    /// Creates a source that starts at a offset derived from `random`.
+    /// Creates a source that starts at an offset derived from `random`.
     pub(crate) fn starting_with(random: u64) -> UpdateSource {
         UpdateSource { offset: random as usize, failed: false }
     }
--- a/crates/gullspar_direct/src/proxy.rs
+++ b/crates/gullspar_direct/src/proxy.rs
@@ -32,7 +32,7 @@
     pub data_centre: DataCentre,
     /// Processing capacity, in thousandths of a core.
     pub strength: u32,
-    /// The address at which other instances reach it.
+    /// The address at which other instances reach this one.
     pub address: SocketAddr,
     /// How long the last holder of a group's claim keeps the exclusive right to promote a member.
     pub claim_lease: Duration,
@@ -61,7 +61,7 @@
     pub shutdown: Rc<Shutdown>,
     pub(crate) discovery: Discovery,
     pub(crate) groups: RefCell<BTreeMap<GroupName, Rc<Group>>>,
-    /// Homes that could not be reached, and until when they are tried last.
+    /// Homes that could not serve a session, and until when they are tried only after all others.
     pub(crate) avoided_homes: RefCell<BTreeMap<InstanceId, Instant>>,
     /// Groups served here for sessions that other instances forwarded, and until when.
     pub(crate) forwarded_groups: RefCell<BTreeMap<GroupName, Instant>>,
@@ -113,7 +113,7 @@
             self.borders.stats.record_gauges(&self.gauge_values());
             let until = next_expiry
                 .map_or(now + MAINTENANCE_INTERVAL, |it| it.min(now + MAINTENANCE_INTERVAL));
-            // After a change and after the timeout alike, everything is updated again.
+            // Everything is updated again, whether a change or the timeout ended the wait.
             let _ = within(&*self.borders.clock, until, changed).await;
         }
     }
--- a/crates/gullspar_direct/src/reading/read_path.rs
+++ b/crates/gullspar_direct/src/reading/read_path.rs
@@ -235,7 +235,7 @@
         let running = Rc::clone(&attempt);
         let task = async move {
             let outcome = this.run_attempt(&group, &req, selected, &running, &tx).await;
-            // The receiver is gone if another attempt was faster; the result is then dropped.
+            // The receiver is gone if the read has its answer or has given up; the outcome is then dropped.
             let _ = tx.unbounded_send((running, outcome));
         };
         compio::runtime::spawn(task).detach();
--- a/crates/gullspar_direct/src/reading/target_selection.rs
+++ b/crates/gullspar_direct/src/reading/target_selection.rs
@@ -20,10 +20,10 @@
 /// Cost added to a replica that is not known to have reached the required point; it may refuse the read.
 const UNCERTAIN_COST: Duration = Duration::from_millis(3);
 
-/// Assumed statement time until a target of the group has answered one.
+/// Assumed mean statement time until a target of the group has answered a statement.
 const INITIAL_MEAN_ESTIMATE: Duration = Duration::from_millis(20);
 
-/// Conditions that a target must meet to serve a read.
+/// The properties of a read that determine which target serves it.
 pub(crate) struct ReadCriteria<'a> {
     /// The point that a replica must have reached; `None` if only the leader can serve the read.
     pub(crate) at_least: Option<LogPoint>,
