--- a/crates/gullspar_direct/src/reading/position_samples.rs
+++ b/crates/gullspar_direct/src/reading/position_samples.rs
@@ -6,7 +6,7 @@
 use gullspar_border::BootInstant;
 use gullspar_model::LogPoint;
 
-/// How long samples are kept; longer than the maximum age that callers accept.
+/// How long samples are kept. A read that allows a larger age uses the oldest sample kept.
 const SAMPLE_TTL: Duration = Duration::from_secs(6);
 
 /// Minimum time between two samples; bounds the memory of a busy group.
