--- a/crates/gullspar_customer/src/leased_tokens.rs
+++ b/crates/gullspar_customer/src/leased_tokens.rs
@@ -59,7 +59,7 @@
 }
 
 impl LeasedTokens {
-    /// Creates an account without tokens.
+    /// Starts without tokens and with the full grace period.
     pub fn new(now: BootInstant) -> LeasedTokens {
         LeasedTokens {
             tokens: 0,
@@ -156,7 +156,7 @@
         self.rated_at = now;
     }
 
-    /// Whether this account has been unused for so long that it can be dropped without effect.
+    /// Whether neither tokens nor the grace period were used for so long that this state can be dropped without effect.
     pub fn is_idle(&self, now: BootInstant) -> bool {
         now.since(self.rated_at) > GRACE_RECOVERY_PERIOD
             && now.since(self.grace_updated_at) > GRACE_RECOVERY_PERIOD
--- a/crates/gullspar_customer/src/owned_quotas.rs
+++ b/crates/gullspar_customer/src/owned_quotas.rs
@@ -73,7 +73,7 @@
     }
 
     /// Continues a quota with the state of its previous owner. No settle period is needed then, as that owner grants no
-    /// more.
+    /// more. Ignored if the settle period of the quota here has ended already.
     pub fn apply_handover(&mut self, handover: &QuotaHandover, limit: RateLimit, now: BootInstant) {
         let bucket = TokenBucket::with_thousandths(limit, handover.thousandths, now);
         let known = self.entries.get(&handover.customer);
--- a/crates/gullspar_fleet/src/config_store.rs
+++ b/crates/gullspar_fleet/src/config_store.rs
@@ -26,8 +26,8 @@
 
 /// An object in force.
 ///
-/// A service's text is not stored, because it can be serialized again without loss: services with unknown fields are not
-/// applied.
+/// A service's text is not stored, because the service can be serialized again without loss: services with unknown
+/// fields are not applied.
 struct Entry {
     version: ObjectVersion,
     text: Option<String>,
@@ -44,7 +44,7 @@
 }
 
 impl ConfigStore {
-    /// Puts `entry` in force unless the same or a newer version is; returns whether it did.
+    /// Puts `entry` in force if it is readable and newer than the version in force; returns whether it did.
     ///
     /// Answers of the platform and of other instances arrive in any order. Without the comparison, a late answer would
     /// restore an old version.
@@ -137,7 +137,7 @@
         Some(ConfigEntry { key: key.to_owned(), version: entry.version, value })
     }
 
-    /// Notified at each change. Call it before reading, so that no change is missed.
+    /// Returns a listener for the next change. Call this before reading, so that no change is missed.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
--- a/crates/gullspar_fleet/src/config_sync.rs
+++ b/crates/gullspar_fleet/src/config_sync.rs
@@ -18,7 +18,7 @@
 
 /// Number of instances of a data centre that watch the platform.
 ///
-/// With two, the loss of one delays no update; more would add load, since each watch counts on the platform.
+/// With two, the loss of one delays no update. More would only add watches, and thus load, on the platform.
 const RELAYS_PER_DATA_CENTRE: usize = 2;
 
 /// Time between two checks of whether this instance is a relay.
--- a/crates/gullspar_fleet/src/fleet.rs
+++ b/crates/gullspar_fleet/src/fleet.rs
@@ -134,8 +134,8 @@
 
     /// The instances that can be homes of targets in `data_centre`: those located there, or all if there are none.
     ///
-    /// Cached by data centre, because scanning the whole fleet for each target at every change of instances would be too
-    /// slow.
+    /// Cached by data centre, because scanning the whole fleet for each target at every change of instances would be
+    /// too slow.
     fn candidates(&self, data_centre: &DataCentre) -> Rc<Vec<Rc<InstanceRecord>>> {
         let mut live = self.live.borrow_mut();
         let table = self.table.borrow();
@@ -166,8 +166,8 @@
 
     /// The instance that holds the connections of `target`.
     ///
-    /// It is chosen by rendezvous hashing among the instances of the target's data centre, or among all instances if none
-    /// is left there.
+    /// It is chosen by rendezvous hashing among the instances of the target's data centre, or among all instances if
+    /// none is left there.
     pub fn home(&self, target: &TargetKey, data_centre: &DataCentre) -> Option<Rc<InstanceRecord>> {
         let generation = self.generation();
         if let Some(cached) = self.homes.borrow().get(target)
@@ -187,8 +187,8 @@
 
     /// Whether this instance may act as a home.
     ///
-    /// An instance that has just started knows no other one and would consider itself the home of all targets. If a whole
-    /// data centre restarts, each instance would then connect to every target.
+    /// An instance that has just started knows no other one and would consider itself the home of all targets. When a
+    /// whole data centre restarts, each instance would then connect to every target.
     fn has_joined(&self) -> bool {
         self.has_contacted_others.get() || self.borders.clock.now() >= self.alone_after
     }
@@ -210,12 +210,12 @@
             || self.candidates(data_centre).first().is_none_or(|it| it.data_centre != *data_centre)
     }
 
-    /// Notified once, when this instance begins to shut down.
+    /// Returns a listener that is notified when this instance begins to shut down.
     pub fn listen_leaving(&self) -> EventListener {
         self.leaving.listen()
     }
 
-    /// Notified when the instances change. Call it before reading, so that no change is missed.
+    /// Returns a listener for the next change of the instances. Call this before reading, so that no change is missed.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
--- a/crates/gullspar_fleet/src/gossip.rs
+++ b/crates/gullspar_fleet/src/gossip.rs
@@ -177,7 +177,8 @@
         }
     }
 
-    /// Refutes a record of this instance with a worse state than its own, by announcing a higher incarnation.
+    /// Refutes a record of this instance that has a worse state or a later incarnation than its own, by announcing a
+    /// higher incarnation.
     fn refute(&self, record: &InstanceRecord) {
         let mut own = self.own.borrow_mut();
         if record.incarnation > own.incarnation
--- a/crates/gullspar_fleet/src/member_table.rs
+++ b/crates/gullspar_fleet/src/member_table.rs
@@ -27,8 +27,8 @@
     /// Maximum number of records in one message.
     const MAX_UPDATES: usize = 12;
 
-    /// Stores `record` if it supersedes the known one; returns whether it did. At `due_at` a suspect is declared dead, or
-    /// a dead instance removed.
+    /// Stores `record` if it supersedes the known one; returns whether it did. At `due_at` a suspect is declared dead,
+    /// or a dead instance removed.
     ///
     /// A dead instance that is not known is ignored. Otherwise instances would send its record to each other forever.
     pub(crate) fn merge(&mut self, record: &InstanceRecord, due_at: Option<Instant>) -> bool {
@@ -74,8 +74,8 @@
             .collect()
     }
 
-    /// Declares suspects dead and removes dead instances whose time is due. Returns the instances declared dead; they are
-    /// removed at `forget_at`.
+    /// Declares suspects dead and removes dead instances whose time is due. Returns the instances declared dead; they
+    /// are removed at `forget_at`.
     pub(crate) fn expire(&mut self, now: Instant, forget_at: Instant) -> Vec<InstanceId> {
         let is_due = |it: &MemberEntry, state| {
             it.record.state == state && it.due_at.is_some_and(|at| at <= now)
--- a/crates/gullspar_fleet/src/rank.rs
+++ b/crates/gullspar_fleet/src/rank.rs
@@ -1,6 +1,6 @@
 //! Rendezvous hashing: ranks instances for a key, equally on all instances with the same member table.
 
-/// The weight of `id` for `key`; the highest weight ranks first.
+/// The weight of `id` for `key`, by which instances are ranked.
 ///
 /// The hash must be the same in all program versions that run at the same time. The standard library does not guarantee
 /// that for its own.
--- a/crates/gullspar_fleet/src/timing.rs
+++ b/crates/gullspar_fleet/src/timing.rs
@@ -4,7 +4,8 @@
 
 /// Intervals and timeouts of a fleet.
 ///
-/// With the defaults, another instance takes over the targets of a dead one within 2 s. `docs/CAPACITY.md` has the cost.
+/// With the defaults, another instance takes over the targets of a dead one within 2 s. `docs/CAPACITY.md` describes
+/// the cost.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetTiming {
     /// Time between two gossip exchanges of an instance.
@@ -15,8 +16,8 @@
     pub suspect_timeout: Duration,
     /// How long a dead instance is remembered, in case it is only unreachable.
     pub forget_dead_after: Duration,
-    /// How long a watch on the platform waits for a change, if the platform answered the last call. If no answer comes, the
-    /// watch is given up 1.5 s later and repeated at once, so that a configuration is in force within 6 s of its
+    /// How long a watch on the platform waits for a change, if the platform answered the last call. If no answer comes,
+    /// the watch is given up 1.5 s later and repeated at once, so that a configuration is in force within 6 s of its
     /// acceptance.
     pub watch_timeout: Duration,
 }
--- a/crates/gullspar_group/src/group_watch.rs
+++ b/crates/gullspar_group/src/group_watch.rs
@@ -59,7 +59,7 @@
     pub(crate) spec: RefCell<Rc<GroupSpec>>,
     pub(crate) views: RefCell<BTreeMap<MemberName, MemberView>>,
     position_samples: RefCell<PositionSamples>,
-    /// Silence of members before this instant does not count, because this process was paused or has just started.
+    /// No member counts as silent before this instant, because observation has just begun or this process was paused.
     silence_counts_from: Cell<Instant>,
     /// The newest claimed term seen on the platform, and when it was first seen.
     pub(crate) last_claim: Cell<(Term, Instant)>,
@@ -194,7 +194,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Discounts the silence of all members until now, after a pause of this process.
+    /// After a pause of this process, lets no member count as silent until `failed_after` from now.
     pub(crate) fn discount_silence(&self) {
         self.silence_counts_from.set(self.now() + self.timing.failed_after);
     }
@@ -370,7 +370,7 @@
 
     /// Whether a member has not answered for so long that it counts as failed.
     ///
-    /// Always false shortly after this process was paused, since answers may have been missed during the pause.
+    /// Always false shortly after observation began or this process was paused, since answers may have been missed.
     pub fn is_silent(&self, member: &MemberName) -> bool {
         let now = self.now();
         let Some(view) = self.view(member) else { return false };
--- a/crates/gullspar_group/src/observer.rs
+++ b/crates/gullspar_group/src/observer.rs
@@ -50,8 +50,9 @@
         Ok(())
     }
 
-    /// Whether `member` must report each new position at once: its home has reads that wait for it, and the
-    /// primary's home has writes that wait for acknowledgement.
+    /// Whether `member` must report each new position to this instance at once.
+    ///
+    /// At the member's home, reads wait for the position; at the primary's home, writes wait for acknowledgement.
     fn should_wake_on_position(&self, member: &MemberName) -> bool {
         let is_home = |it: &MemberName| {
             let spec = self.spec.borrow();
--- a/crates/gullspar_group/src/promotion.rs
+++ b/crates/gullspar_group/src/promotion.rs
@@ -114,8 +114,8 @@
         };
         let known = self.watch.fleet.config.group(&self.watch.name).map(|it| it.object.claimed);
         if object.claimed > known.unwrap_or_default() {
-            // Another instance has claimed meanwhile. A further claim would fence the member that it is about to
-            // promote.
+            // Another instance has claimed meanwhile. A further claim would fence the member that the other instance
+            // is about to promote.
             self.publish(version, &object);
             return Err(PromotionError::Overtaken);
         }
@@ -169,7 +169,7 @@
         format!("{}{}", GroupObject::PREFIX, self.watch.name)
     }
 
-    /// Fences a leaving primary first, so that its replicas can receive its whole log.
+    /// Fences a leaving primary, and waits up to [`CATCH_UP_TIMEOUT`] until its replicas have received its whole log.
     async fn let_replicas_catch_up(&self, term: Term, primary: Option<&MemberName>) {
         let spec = self.watch.spec();
         let Some(primary) = primary.and_then(|it| spec.member(it)) else { return };
@@ -189,7 +189,7 @@
             .await;
     }
 
-    /// Makes a majority refuse all terms below `term`, and returns the status of each member after that.
+    /// Makes a majority refuse all terms below `term`, and returns the fenced members with their status after that.
     async fn fence_majority(&self, term: Term) -> Result<Vec<FencedMember>, PromotionError> {
         let spec = self.watch.spec();
         let deadline = self.watch.now() + self.watch.timing.step_timeout;
--- a/crates/gullspar_group/src/suspicion.rs
+++ b/crates/gullspar_group/src/suspicion.rs
@@ -102,7 +102,8 @@
         self.can_replace_leaving(&leader).then_some(PromotionReason::Leaving)
     }
 
-    /// Whether another instance has claimed a term so recently that it is probably promoting.
+    /// Whether another instance has claimed a term so recently that it is probably promoting. Records when each claim
+    /// was first seen.
     ///
     /// Without this check each instance that detects the failure would add a claim of its own. Each claim fences the
     /// members that the previous claimant was about to promote, so that no promotion succeeds.
@@ -165,8 +166,8 @@
         homes.collect()
     }
 
-    /// Whether a promotion for `reason` may begin. A silent primary is replaced only if the homes of a majority of
-    /// members see it as failed and it does not answer another call.
+    /// Whether a promotion for `reason` may begin. A silent primary is replaced only if a majority of members answers
+    /// this instance, the homes of a majority see the primary as failed, and the primary does not answer another call.
     ///
     /// One instance's broken link must not depose a primary that all others reach. An instance whose data centre
     /// was partitioned considers all others dead and itself the home of every member; without the call it would
--- a/crates/gullspar_membership/src/member_table.rs
+++ b/crates/gullspar_membership/src/member_table.rs
@@ -266,7 +266,7 @@
         self.population(Proximity::Near, now).counted + self.population(Proximity::Far, now).counted
     }
 
-    /// The other instances that are near or far.
+    /// Numbers of the other instances of this proximity.
     pub(crate) fn population(&self, proximity: Proximity, now: BootInstant) -> Population {
         let live_counts = match proximity {
             Proximity::Near => self.near,
@@ -300,7 +300,8 @@
         self.entries.get(id).is_none_or(|it| !it.is_alive() && !it.is_counted(now))
     }
 
-    /// A number that changes whenever a record does.
+    /// A number that increases with each newer record, but not with a renewal or when a dead instance
+    /// is forgotten.
     pub(crate) fn generation(&self) -> u64 {
         self.generation
     }
--- a/crates/gullspar_membership/src/membership.rs
+++ b/crates/gullspar_membership/src/membership.rs
@@ -282,7 +282,8 @@
         self.table.has_updates()
     }
 
-    /// A number that changes whenever the record of another instance does.
+    /// A number that increases with each newer record of another instance. It does not change when a
+    /// suspect's time to refute is renewed or a dead instance is forgotten.
     pub fn generation(&self) -> u64 {
         self.table.generation()
     }
@@ -319,11 +320,11 @@
         (100 * reached / counted) as u32
     }
 
-    /// Whether this instance can't reach most of the counted instances.
+    /// Whether this instance can't reach a majority of the counted instances.
     ///
-    /// It is estimated from the share of silent contacts. The number of known deaths can't be used:
-    /// during a partition, an instance does not learn of deaths that only contacts on the other side
-    /// can detect.
+    /// The number of reachable instances is estimated from the share of silent contacts. The number
+    /// of known deaths can't be used: during a partition, an instance does not learn of deaths that
+    /// only contacts on the other side can detect.
     pub fn is_isolated(&self, now: BootInstant) -> bool {
         let counted = self.counted(now);
         let reached = if counted <= 1 + MAX_FULL_MESH_PEERS {
--- a/crates/gullspar_membership/tests/fleet.rs
+++ b/crates/gullspar_membership/tests/fleet.rs
@@ -195,8 +195,8 @@
 }
 
 /// Guards against slow convergence after a common start, during which instances would compute
-/// different homes and shares. `is_listed`: they know all addresses from the registry; otherwise
-/// only the seeds.
+/// different homes and shares. With `is_listed`, all instances know all addresses from the registry;
+/// otherwise they know only the seeds.
 #[test_case(9, true)]
 #[test_case(85, true)]
 #[test_case(295, true)]
--- a/crates/gullspar_membership/tests/support/fleet.rs
+++ b/crates/gullspar_membership/tests/support/fleet.rs
@@ -179,7 +179,7 @@
     ///
     /// # Panics
     ///
-    /// Panics after `limit_ms`.
+    /// Panics if that takes `limit_ms` or longer.
     pub fn run_until(
         &mut self,
         limit_ms: u64,
--- a/crates/gullspar_target/src/exchange.rs
+++ b/crates/gullspar_target/src/exchange.rs
@@ -154,7 +154,7 @@
                 self.expected.pop_front();
                 FrameAction::Hide
             }
-            // A simple query ends any number of steps that were not queued as expected.
+            // A simple query gets any number of such answers, so they are not queued as expected.
             _ => FrameAction::Forward,
         }
     }
--- a/crates/gullspar_target/src/lib.rs
+++ b/crates/gullspar_target/src/lib.rs
@@ -1,8 +1,7 @@
 //! Connection pools for targets, admission to them, and the execution of units of work.
 //!
 //! Each target's connections are held by one instance, its home; other instances use them over
-//! lanes.
-//! `docs/design/scarce-connections.md` explains why.
+//! lanes. `docs/design/scarce-connections.md` explains why.
 
 mod admission;
 mod exchange;
--- a/crates/gullspar_target/src/local_lane.rs
+++ b/crates/gullspar_target/src/local_lane.rs
@@ -28,7 +28,7 @@
     checked_out: CheckedOut,
 }
 
-/// A connection held between units of a transaction or a session that keeps it.
+/// A connection held between the units of a transaction, or of a session that keeps its connection.
 struct Pinned {
     checked_out: CheckedOut,
     watch: WatchGuard,
@@ -233,7 +233,8 @@
         if let Some(outcome) = refused_by_target(head, &exchanged) {
             return outcome;
         }
-        // Released before waiting for the acknowledgement, so that others can use the connection.
+        // The connection is returned before waiting for the acknowledgement, so that others can use
+        // it, unless the transaction or the session keeps it.
         let pinned = exchanged.status != status::IDLE || head.keep_connection;
         if pinned {
             self.pinned = Some(Pinned { checked_out, watch: watch.guard(), pool, term });
@@ -270,8 +271,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the member is not the group's leader, or if its leadership is not confirmed as the unit
-/// requires.
+/// Fails if the member is not the group's leader, if its leadership is not confirmed as the unit
+/// requires, or, for a write, if no majority has answered recently.
 fn check_leadership(watch: &GroupWatch, head: &LaneUnit) -> Result<Option<Term>, NotRun> {
     if !head.on_primary {
         return Ok(None);
--- a/crates/gullspar_target/tests/admission.rs
+++ b/crates/gullspar_target/tests/admission.rs
@@ -15,7 +15,7 @@
 const OBJECTIVE: Duration = Duration::from_millis(100);
 const DEADLINE: Duration = Duration::from_millis(1000);
 
-/// Time between two arrivals: 1.4 times the rate that the capacity can serve.
+/// Time between two arrivals; they come at 1.4 times the rate that the capacity can serve.
 const ARRIVAL_INTERVAL: Duration = Duration::from_micros(3571);
 
 const REQUESTS: u32 = 560;
