--- a/crates/gullspar_fleet/tests/silent_platform.rs
+++ b/crates/gullspar_fleet/tests/silent_platform.rs
@@ -32,7 +32,7 @@
 
 const KEY: &str = "gullspar/groups/core";
 
-/// A platform with one object that can stop answering.
+/// A platform that has one object and can be made silent.
 #[derive(Default)]
 struct FakePlatform {
     revision: Cell<u64>,
--- a/crates/gullspar_group/src/target_control.rs
+++ b/crates/gullspar_group/src/target_control.rs
@@ -13,11 +13,11 @@
     /// Why a control call failed.
     #[derive(Debug)]
     pub enum TargetError {
-        /// The target could not be reached, or the connection broke.
+        /// The connection broke, or the target's messages can't be read.
         Unreachable(reason: String) {
             display("the target can't be reached: {reason}")
         }
-        /// The target refuses connections, as a stopped one does.
+        /// Opening a connection failed other than by timeout, as it does while the target is stopped.
         ConnectionRefused(reason: String) {
             display("the target refuses connections: {reason}")
         }
--- a/crates/gullspar_membership/src/member_record.rs
+++ b/crates/gullspar_membership/src/member_record.rs
@@ -27,7 +27,8 @@
         /// Age of the state in milliseconds, so that forwarding a record does not make a death
         /// younger.
         pub state_age_ms: u32,
-        /// How often a contact received something from the suspect and renewed its time to refute.
+        /// How often the suspect's time to refute was renewed, because a contact received something
+        /// from it.
         ///
         /// Renewals are compared by this count, not by age: a record that waits at a busy instance
         /// looks younger than it is, and the time of a dead instance could be extended forever.
--- a/crates/gullspar_membership/src/member_table.rs
+++ b/crates/gullspar_membership/src/member_table.rs
@@ -42,6 +42,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct LiveCounts {
     all: usize,
+    /// Those that are not leaving.
     staying: usize,
 }
 
--- a/crates/gullspar_membership/tests/fleet.rs
+++ b/crates/gullspar_membership/tests/fleet.rs
@@ -286,8 +286,8 @@
     }
 }
 
-/// Guards against two halves that stay separate after a partition longer than dead instances are
-/// counted.
+/// Guards against two parts of a fleet that stay separate after a partition that lasts longer than
+/// dead instances are counted.
 #[test]
 fn halves_merge_after_a_long_partition() {
     let mut fleet = fleet(40, 1);
