--- a/crates/gullspar_lab/src/lab.rs
+++ b/crates/gullspar_lab/src/lab.rs
@@ -50,7 +50,7 @@
     /// The addresses of all servers of a lab.
     pub struct LabAddresses {
         pub platform: SocketAddr,
-        /// The server that accepts lab commands; `None` for a lab within a test.
+        /// The address of the control server; `None` for a lab within a test.
         pub control: Option<SocketAddr>,
         pub instances: Vec<InstanceAddresses>,
         pub targets: Vec<LabTarget>,
--- a/crates/gullspar_lab/src/lab_instance.rs
+++ b/crates/gullspar_lab/src/lab_instance.rs
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Whether the instance was started and not stopped since.
+    /// Whether the instance was neither killed nor shut down since its last start. A shutdown that was
+    /// only requested does not count.
     pub fn is_running(&self) -> bool {
         self.thread.is_some()
     }
--- a/crates/gullspar_lab/tests/faults_together.rs
+++ b/crates/gullspar_lab/tests/faults_together.rs
@@ -18,7 +18,7 @@
 const TARGETS: [&str; 3] = ["core/m1", "core/m2", "core/m3"];
 const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 
-/// A xorshift generator, which gives the same numbers on every machine.
+/// An xorshift generator, which gives the same numbers on every machine.
 struct Random(u64);
 
 impl Random {
