--- a/crates/gullspar_direct/tests/support/fake_registry.rs
+++ b/crates/gullspar_direct/tests/support/fake_registry.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct FakeRegistry {
     entries: RefCell<BTreeMap<InstanceId, Member>>,
-    /// Calls never return.
+    /// Calls get no answer.
     pub unresponsive: Cell<bool>,
     /// Number of calls of `register` that succeeded.
     pub registrations: Cell<u32>,
--- a/crates/gullspar_direct/tests/support/mod.rs
+++ b/crates/gullspar_direct/tests/support/mod.rs
@@ -62,13 +62,13 @@
 /// How long a leaving target still receives new work.
 pub const LEAVING_TARGET_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// How long an instance must run before it replaces leaders, in milliseconds, with a margin of 200 ms.
+/// How long an instance must run before it replaces leaders, in milliseconds, including a margin of 200 ms.
 const STARTUP_PERIOD_MS: u64 = 1700;
 
 /// Additional duration of a statement on a slowed replica, in milliseconds.
 const SLOW_REPLICA_DELAY_MS: u64 = 250;
 
-/// How long slowed replicas are read from at least, so that instances learn their latency.
+/// Minimum time of reading from slowed replicas, in which instances learn their latency.
 const LATENCY_LEARNING_PERIOD: Duration = Duration::from_secs(3);
 
 /// The fakes that the instances of one test share.
--- a/crates/gullspar_operator/src/intent.rs
+++ b/crates/gullspar_operator/src/intent.rs
@@ -124,7 +124,7 @@
             findings.push(format!("{path}.slots: must be at least 1"));
         }
         if member.connections < 8 {
-            findings.push(format!("{path}.connections: must be at least 8, gullspar reserves 6"));
+            findings.push(format!("{path}.connections: must be at least 8, six are gullspar's"));
         }
         if members[..index].iter().any(|it| it.name == member.name) {
             findings.push(format!("{path}: duplicate name"));
