--- a/crates/gullspar_direct/tests/claims.rs
+++ b/crates/gullspar_direct/tests/claims.rs
@@ -62,7 +62,7 @@
     });
 }
 
-/// Guards against waiting for an unanswered order as long as an accepted one takes to show.
+/// Guards against repeating an unanswered order only after the time that an accepted one takes to have an effect.
 #[test]
 fn an_unanswered_order_is_repeated_at_once() {
     run(async {
@@ -116,7 +116,7 @@
             nonce: "made by hand".to_owned(),
             over_term: Term(0),
         });
-        // Only instance 1, one of two, sees the leader as unresponsive; instance 2 does not report it.
+        // The leader is unresponsive only to instance 1, which is half of the instances.
         world.group.inject_fault(0, Fault::UnresponsiveTo(1));
         pause(1000).await;
         let by_first =
@@ -138,8 +138,8 @@
     });
 }
 
-/// Guards against waiting for the holder of an old claim that the store no longer answers: reading the claim again
-/// must not restart the time for which only its holder may promote.
+/// Guards against waiting for the holder of an old claim although the store refuses this holder's calls: reading the
+/// claim again must not restart the time for which only its holder may promote.
 #[test]
 fn a_holder_that_the_store_refuses_is_not_awaited() {
     run(async {
--- a/crates/gullspar_direct/tests/failover.rs
+++ b/crates/gullspar_direct/tests/failover.rs
@@ -115,8 +115,8 @@
     });
 }
 
-/// Guards against a promotion by instances that receive from fewer than half of the others, whichever instances are
-/// close to them.
+/// Guards against a promotion by instances that receive messages from fewer than half of the others, even if they are
+/// homes of the group.
 #[test]
 fn a_minority_with_homes_of_its_own_promotes_no_member() {
     run(async {
@@ -188,7 +188,7 @@
         pause(300).await;
         assert!(!caller.has_answer(), "the commit waits for a replica");
         world.group.promote(&"m1".into());
-        // The next statement learns from the old leader that it no longer leads.
+        // The old leader refuses the next statement, which shows the instance that it no longer leads.
         other.send_statement("READ slot");
         let answer = caller.next().await.unwrap();
         assert_eq!(answer.result.unwrap_err().code, FailureCode::Unknown);
--- a/crates/gullspar_direct/tests/homes.rs
+++ b/crates/gullspar_direct/tests/homes.rs
@@ -47,7 +47,7 @@
     proxies.iter().find(|it| it.groups().is_empty()).unwrap()
 }
 
-/// Guards against instances that each open connections of their own, which are more than the targets accept.
+/// Guards against instances that each open their own connections, together more than the targets accept.
 #[test]
 fn only_homes_hold_connections_and_all_callers_are_served() {
     run(async {
@@ -159,8 +159,8 @@
     });
 }
 
-/// Guards against overflowing targets' own queues: each home may always run one statement, so that the number of
-/// homes is bounded by the slots of the targets.
+/// Guards against overflowing the targets' own queues: each home may always run one statement, so the slots of the
+/// targets must limit the number of homes.
 #[test]
 fn there_are_no_more_homes_than_the_targets_can_serve_at_once() {
     run(async {
--- a/crates/gullspar_direct/tests/knowledge.rs
+++ b/crates/gullspar_direct/tests/knowledge.rs
@@ -138,7 +138,7 @@
     );
 }
 
-/// Guards against lists of targets that arrive out of order.
+/// Guards against an older list of targets that arrives late and replaces a newer one.
 #[test]
 fn an_older_list_of_targets_is_ignored() {
     let directory = Directory::default();
--- a/crates/gullspar_direct/tests/leaving.rs
+++ b/crates/gullspar_direct/tests/leaving.rs
@@ -33,7 +33,7 @@
     });
 }
 
-/// Guards against a leaving leader that gets statements until it ends because no replica can replace it.
+/// Guards against a leaving leader that gets statements until it has left, because no replica can replace it.
 #[test]
 fn a_leaving_leader_without_a_successor_gets_no_new_work_after_a_timeout() {
     run(async {
--- a/crates/gullspar_direct/tests/pacing.rs
+++ b/crates/gullspar_direct/tests/pacing.rs
@@ -9,7 +9,7 @@
 /// Length of a simulated run, in milliseconds.
 const SIMULATED_PERIOD: u64 = 20_000;
 
-/// The newest statement counts as one part in this many in an instance's running mean.
+/// The weight of the newest statement in an instance's running mean is one divided by this number.
 const MEAN_PARTS: u64 = 8;
 
 /// A load above the target's capacity: each instance always has another statement waiting.
--- a/crates/gullspar_direct/tests/partitioned_data_centre.rs
+++ b/crates/gullspar_direct/tests/partitioned_data_centre.rs
@@ -11,7 +11,7 @@
 use gullspar_statement::FailureCode;
 use support::{FakeCaller, Fault, LATEST, World, pause, run, wait_until};
 
-/// Number of instances: more than are all contacts of each other, and so many that most are home of no group.
+/// Number of instances. Not all of them are contacts of each other, and most are home of no group.
 const FLEET: u16 = 15;
 
 const DATA_CENTRES: u16 = 3;
@@ -23,7 +23,7 @@
 /// and the time after which reports of homes expire.
 const LEAVE_ROTATION_TIMEOUT_MS: u64 = 2000;
 
-/// Time within which a partitioned instance refuses a request; well below the deadline of one second.
+/// Time within which a partitioned instance refuses a new session; well below the deadline of one second.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(300);
 
 fn data_centre_index(number: u16) -> u16 {
--- a/crates/gullspar_direct/tests/start_in_a_partition.rs
+++ b/crates/gullspar_direct/tests/start_in_a_partition.rs
@@ -11,14 +11,14 @@
 use gullspar_statement::FailureCode;
 use support::{FakeCaller, Fault, LATEST, World, pause, run, wait_until};
 
-/// Time after which an instance that has just started has received messages of its neighbours, in milliseconds.
+/// Time after which an instance that has just started has received messages from its neighbours, in milliseconds.
 const FIRST_CONTACT_TIMEOUT: u64 = 600;
 
 /// Maximum time of an immediate refusal on a busy machine.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Guards against an instance in a partitioned data centre that takes its neighbours for the whole fleet, becomes
-/// ready and keeps callers waiting for unreachable leaders.
+/// Guards against an instance in a partitioned data centre that treats its neighbours as the whole fleet, becomes
+/// ready and lets callers wait for unreachable leaders.
 #[test]
 fn an_instance_that_starts_in_a_partition_is_not_ready_and_refuses_at_once() {
     run(async {
--- a/crates/gullspar_direct/tests/support/fault.rs
+++ b/crates/gullspar_direct/tests/support/fault.rs
@@ -15,7 +15,7 @@
     Busy,
     /// Callers' statements fail, except for `COMMIT`; checks succeed.
     FailsStatements,
-    /// Every second of callers' statements fails, except for `COMMIT`; checks succeed.
+    /// Every other statement of callers fails, except for `COMMIT`; checks succeed.
     FailsEverySecond,
     /// It accepts no new connections.
     RefusesConnections,
--- a/crates/gullspar_direct/tests/support/mod.rs
+++ b/crates/gullspar_direct/tests/support/mod.rs
@@ -68,7 +68,7 @@
 /// Additional duration of a statement on a slowed replica, in milliseconds.
 const SLOW_REPLICA_DELAY_MS: u64 = 250;
 
-/// How long slowed replicas are read from at least, so that instances learn their latency.
+/// Minimum time for which slowed replicas are read from, so that instances measure their latency.
 const LATENCY_LEARNING_PERIOD: Duration = Duration::from_secs(3);
 
 /// The fakes that the instances of one test share.
--- a/crates/gullspar_direct/tests/target_selection.rs
+++ b/crates/gullspar_direct/tests/target_selection.rs
@@ -73,7 +73,7 @@
         let failed = world.group.failed_statements.get();
         assert!((1..=10).contains(&failed), "it failed {failed} statements in two seconds");
         world.group.clear_faults(1);
-        // Of two healthy replicas the faster one is read from, so the other one fails from now on.
+        // Only the faster of two healthy replicas is read from, so the other one now fails.
         world.group.inject_fault(2, Fault::FailsStatements);
         let mended = Instant::now();
         let on_replica =
