--- a/crates/gullspar/tests/documents.rs
+++ b/crates/gullspar/tests/documents.rs
@@ -45,7 +45,7 @@
     events
 }
 
-/// Guards against log events that the catalogue does not list, and listed events that are not in the code.
+/// Guards against log events that the page of log events does not list, and listed events that are not in the code.
 #[test]
 fn every_log_event_is_in_the_catalogue_and_no_other() {
     let page = std::fs::read_to_string(root().join("docs/log-events.md")).unwrap();
@@ -61,6 +61,7 @@
     assert_eq!(listed, used);
 }
 
+/// Guards against log messages that operators cannot look up because they have no event number.
 #[test]
 fn every_log_call_carries_a_number() {
     let mut files = Vec::new();
--- a/crates/gullspar/tests/soak.rs
+++ b/crates/gullspar/tests/soak.rs
@@ -35,16 +35,14 @@
 
 /// Runs one seed; fails on a broken promise, or if nothing is served after the faults.
 ///
-/// Seed 101: a caller of the soak continued after a refused BEGIN, and its separate writes were checked
-/// as one transaction.
+/// - Seed 138 guards against a leader that acknowledges a write alone after another member has been promoted, and
+///   against a check that fails on a write acknowledged alone just before a promotion, which `docs/promises.md` allows.
+/// - Seed 25567 guards against a check that orders writes by their values instead of by the log, although a write
+///   without an answer may take effect after a later write of its caller.
+/// - Seed 101 guards against a caller of the soak that continues after a refused `BEGIN`, so that its separate writes
+///   are checked as one transaction.
 #[test_case(1; "a seed without a finding")]
-///
-/// Seed 138: a leader acknowledged a write alone after another member had been promoted. The check also
-/// failed on a write acknowledged alone just before a promotion, which docs/promises.md allows.
 #[test_case(138; "a leader superseded while replicas can't be asked")]
-///
-/// Seed 25567: a write without an answer took effect after a later write of its caller, and the check
-/// ordered the writes by their values instead of by the log.
 #[test_case(25567; "a write whose outcome is unknown takes effect late")]
 #[test_case(101; "a BEGIN that is refused while the instances start")]
 fn seeds_break_no_promise(seed: u64) {
@@ -55,8 +53,8 @@
     assert!(report.done_after_faults > 0, "nothing is served after the faults: {report:#?}");
 }
 
-/// Guards against requests that are served for the wrong customer, and against a store that is
-/// restored from an older copy and so loses recent changes.
+/// Guards against requests that are served for the wrong customer, and against promises that are broken after the
+/// store was restored from an older copy and has lost recent changes.
 #[test]
 fn customers_and_restored_stores_break_no_promise() {
     let plan = SoakPlan { customers: true, ..plan(41, Duration::from_secs(6)) };
--- a/crates/gullspar_lab/tests/bad_input.rs
+++ b/crates/gullspar_lab/tests/bad_input.rs
@@ -16,6 +16,7 @@
     assert_eq!((answer.outcome(), answer.rows.len()), (RequestOutcome::Done, 3));
 }
 
+/// Guards against a malformed message that is not answered with an error, or that affects other connections.
 #[test_case(&[b'Q', 0, 0, 0, 1]; "a length under four")]
 #[test_case(&[b'Q', 0x7f, 0xff, 0xff, 0xff]; "a length over the limit")]
 #[test_case(&[b'Q', 0, 0, 0, 6, 0xff, 0xfe]; "a text that is not UTF-8 and has no end")]
@@ -36,6 +37,7 @@
     });
 }
 
+/// Guards against refusing a session with an error code that does not state the reason.
 #[test_case("strict", "wrong", "tours", "28P01"; "a wrong password")]
 #[test_case("nobody", "nobody", "tours", "28P01"; "an unknown caller")]
 #[test_case("strict", "strict", "nowhere", "3D000"; "an unknown service")]
@@ -78,6 +80,7 @@
     });
 }
 
+/// Guards against losing the session because one of its statements was refused or failed.
 #[test_case("COPY ledger TO STDOUT", "0A000"; "copy")]
 #[test_case("LISTEN news", "0A000"; "listen")]
 #[test_case("SET gullspar.nonsense = 1", "42704"; "an unknown setting")]
--- a/crates/gullspar_lab/tests/failover.rs
+++ b/crates/gullspar_lab/tests/failover.rs
@@ -259,8 +259,8 @@
 }
 
 /// In a partitioned data centre the remaining instance becomes home of replicas that it can't reach.
-/// Guards against a read that uses up its deadline dialling such a replica instead of using the
-/// local one.
+/// Guards against a read that waits until its deadline for a connection to such a replica instead of
+/// using the local one.
 #[test]
 fn a_read_does_not_wait_for_an_unreachable_replica() {
     // With one instance in each data centre, the remaining one becomes home of all targets.
--- a/crates/gullspar_lab/tests/guards.rs
+++ b/crates/gullspar_lab/tests/guards.rs
@@ -65,7 +65,7 @@
     std::thread::sleep(Duration::from_millis(300));
     set(&lab, behind, TargetFault::Stopped);
     std::thread::sleep(Duration::from_millis(500));
-    // The primary stops first, so that the member behind can't catch up.
+    // The primary stops first, so that the member with the shorter log can't catch up.
     set(&lab, &old, TargetFault::Stopped);
     set(&lab, behind, TargetFault::None);
     lab.wait_for("new primary", || lab.primary() != old);
@@ -81,7 +81,7 @@
     misses_own_writes(false)
 }
 
-/// One replica confirms writes at once, the other is cut off from the primary, and reads go to both.
+/// One replica confirms writes at once, the other is partitioned from the primary, and reads go to both.
 fn misses_own_writes(carry_token: bool) -> bool {
     let lab = LabUnderTest::small();
     let primary = lab.primary();
@@ -91,7 +91,7 @@
         let found = lab.lab.targets("core").find(|it| it.member.as_str() == member).unwrap();
         found.data_centre.clone()
     };
-    // A replica that is cut off only from the primary keeps serving reads of its old data.
+    // A replica that is partitioned only from the primary keeps serving reads of its old data.
     let (between, and) = (data_centre_of(&primary), data_centre_of(behind));
     lab.lab.faults.apply(FaultChange::Cut { between, and, cut: true });
     let load = load(&lab, true, carry_token);
--- a/crates/gullspar_lab/tests/operators.rs
+++ b/crates/gullspar_lab/tests/operators.rs
@@ -53,6 +53,7 @@
     }
 }
 
+/// Guards against a plan that changes the configuration before it is confirmed, or only on some instances.
 #[test]
 fn a_plan_takes_effect_on_all_instances_only_once_confirmed() {
     let lab = LabUnderTest::small();
@@ -103,6 +104,7 @@
     });
 }
 
+/// Guards against confirming settings that differ from those that were planned.
 #[test]
 fn a_modified_plan_is_refused() {
     let lab = LabUnderTest::small();
@@ -113,6 +115,7 @@
     });
 }
 
+/// Guards against planning an invalid change, and against reporting only the first of its findings.
 #[test]
 fn an_invalid_intent_is_refused_with_all_findings() {
     let lab = LabUnderTest::small();
--- a/crates/gullspar_lab/tests/whole_path.rs
+++ b/crates/gullspar_lab/tests/whole_path.rs
@@ -5,6 +5,7 @@
 use gullspar_lab::{Client, RequestOutcome};
 use support::{LabUnderTest, run};
 
+/// Guards against a strict caller that does not see a write acknowledged by another instance.
 #[test]
 fn a_write_is_read_back_through_another_instance_without_a_token() {
     let lab = LabUnderTest::small();
@@ -32,6 +33,7 @@
     });
 }
 
+/// Guards against reads of rolled-back writes, and against the loss of a committed transaction.
 #[test]
 fn a_transaction_is_atomic_and_invisible_before_its_commit() {
     let lab = LabUnderTest::small();
@@ -53,6 +55,7 @@
     });
 }
 
+/// Guards against running a request twice when its caller repeats it at another instance.
 #[test]
 fn a_repeated_key_returns_the_first_answer_and_runs_once() {
     let lab = LabUnderTest::small();
@@ -65,6 +68,7 @@
     });
 }
 
+/// Guards against answering a request with the result of a different one that had the same key.
 #[test]
 fn a_key_used_for_another_request_is_refused() {
     let lab = LabUnderTest::small();
@@ -78,6 +82,7 @@
     });
 }
 
+/// Guards against committing a transaction twice when its caller repeats it with the same key.
 #[test]
 fn a_transaction_with_a_key_commits_once() {
     let lab = LabUnderTest::small();
