--- a/crates/gullspar_direct/tests/support/fake_group.rs
+++ b/crates/gullspar_direct/tests/support/fake_group.rs
@@ -159,7 +159,8 @@
         self.commits.set(0);
     }
 
-    /// Makes `name` the leader of the next term. Commits that it doesn't have are undone.
+    /// Makes `name` the leader of the next term and undoes the commits that it doesn't have. Has no effect on the
+    /// current leader.
     pub fn promote(&self, name: &MemberName) {
         let index = self.members.iter().position(|it| it.name == *name).unwrap();
         if index == self.leader.get() {
