--- a/crates/gullspar_bench/benches/overload.rs
+++ b/crates/gullspar_bench/benches/overload.rs
@@ -127,20 +127,20 @@
 
 fn noisy_neighbour(bounds: &mut Bounds) {
     let lab = Deployment::start(settings());
-    let isolated = readers(&lab, "bookings", "visitor", 8).run();
+    let baseline = readers(&lab, "bookings", "visitor", 8).run();
     let noisy_loops: Vec<RunningLoop> = vec![readers(&lab, "listings", "visitor", 200).start()];
-    let shared = readers(&lab, "bookings", "visitor", 8).run();
+    let with_noise = readers(&lab, "bookings", "visitor", 8).run();
     for noisy_loop in noisy_loops {
         noisy_loop.finish();
     }
     println!(
         "quiet service p99: alone {:.1} ms, beside a noisy one {:.1} ms",
-        isolated.done.quantile_ms(0.99),
-        shared.done.quantile_ms(0.99)
+        baseline.done.quantile_ms(0.99),
+        with_noise.done.quantile_ms(0.99)
     );
     bounds.at_most(
         "a quiet service's p99 beside a noisy one against alone",
-        shared.done.quantile_ms(0.99) / isolated.done.quantile_ms(0.99),
+        with_noise.done.quantile_ms(0.99) / baseline.done.quantile_ms(0.99),
         1.5,
     );
 }
