--- a/crates/gullspar_bench/benches/path.rs
+++ b/crates/gullspar_bench/benches/path.rs
@@ -1,6 +1,6 @@
 //! Cost of a statement through one instance, compared with a plain relay and a direct connection.
 //!
-//! Uses trivial targets, because the stand-in group would be the bottleneck.
+//! Uses trivial targets, because a simulated group would be the bottleneck.
 
 use std::process::ExitCode;
 use std::time::Duration;
--- a/crates/gullspar_direct/src/fleet/limits.rs
+++ b/crates/gullspar_direct/src/fleet/limits.rs
@@ -78,8 +78,8 @@
         let mut unanswered = 0;
         loop {
             let now = self.borders.clock.boot_now();
-            let spending = account.leased.borrow_mut().consume(now);
-            match spending {
+            let outcome = account.leased.borrow_mut().consume(now);
+            match outcome {
                 ConsumeOutcome::Granted => {
                     if account.leased.borrow().is_running_low(now) {
                         self.request_tokens(customer, &account, now);
--- a/crates/gullspar_direct/src/groups/claim_tracker.rs
+++ b/crates/gullspar_direct/src/groups/claim_tracker.rs
@@ -74,8 +74,8 @@
 
     /// Applies a report that the instance `from` sent and that arrived at `now`.
     ///
-    /// For a known claim, only reports from its holder count: each instance that forwards a report makes the claim
-    /// look younger by the delay on the way.
+    /// For a known claim, only reports from its holder count: a report's age omits the time that the report was in
+    /// transit, so a claim would appear younger with each instance that forwards it.
     pub fn apply_report(&mut self, report: &ClaimReport, from: &InstanceId, now: BootInstant) {
         let is_known = self.newest.as_ref().is_some_and(|it| it.token >= report.token);
         if !is_known || report.holder == *from {
--- a/crates/gullspar_direct/src/groups/group.rs
+++ b/crates/gullspar_direct/src/groups/group.rs
@@ -28,7 +28,7 @@
     /// The highest term in which a leader answered.
     newest_term: Cell<Term>,
     leaderless_since: Cell<Instant>,
-    /// When the current leader was first seen to lead.
+    /// When the request was sent to which the current leader first answered that it leads.
     led_since: Cell<Option<BootInstant>>,
     /// Since when this instance has had no responsive leader, as of the last refresh.
     leader_unavailable_since: Cell<Option<Instant>>,
@@ -145,7 +145,7 @@
         self.lagging_until.set(Some(until));
     }
 
-    /// Updates the typical lag: a replica was seen to have a commit `took` after it was made.
+    /// Updates the typical lag with the time that a commit took until it was confirmed as replicated.
     ///
     /// The sample is reduced by a tenth. Otherwise the typical lag would never fall, because polls start only after
     /// it.
--- a/crates/gullspar_direct/src/session/caller_opening.rs
+++ b/crates/gullspar_direct/src/session/caller_opening.rs
@@ -117,15 +117,15 @@
     customer: Option<CustomerName>,
     forwarded: Option<ForwardedSession>,
 ) -> Result<(), CallerLinkError> {
-    let ways = proxy.forwarding_candidates(&route.group);
+    let candidates = proxy.forwarding_candidates(&route.group);
     if forwarded.is_some() {
         proxy.hold_group(&route.group);
-        if ways.is_some() {
+        if candidates.is_some() {
             return link.reply(&relay::no_home()).await;
         }
         return Session::serve_session(proxy, link, opening, customer).await;
     }
-    match proxy.other_homes(&route.group).or(ways) {
+    match proxy.other_homes(&route.group).or(candidates) {
         Some(homes) => forward(proxy, link, opening, route.group, &homes).await,
         None => Session::serve_session(proxy, link, opening, customer).await,
     }
--- a/crates/gullspar_direct/src/writing/confirmation.rs
+++ b/crates/gullspar_direct/src/writing/confirmation.rs
@@ -46,7 +46,7 @@
 pub(crate) enum CommitStatus {
     /// The next leader will have the commit.
     Replicated,
-    /// No replica was seen to have the commit in time, but its leader still leads and is not being replaced.
+    /// The commit was not confirmed on replicas in time, but its leader still leads and is not being replaced.
     LeaderOnly,
     /// Another term has begun or may begin, and it is unknown whether its log has the commit.
     Superseded,
--- a/crates/gullspar_direct/src/writing/transaction.rs
+++ b/crates/gullspar_direct/src/writing/transaction.rs
@@ -194,7 +194,7 @@
         let mut last_reason = NotRun::NoPrimary;
         let mut failed_answer = None;
         while clock.now() < req.deadline {
-            let Some(place) = self.select_target(proxy, req, &tried) else {
+            let Some(selected) = self.select_target(proxy, req, &tried) else {
                 if proxy.should_fail_fast(&self.group) {
                     break;
                 }
@@ -204,9 +204,9 @@
                 let _ = within(&**clock, retry_at, self.group.listen()).await;
                 continue;
             };
-            tried.push(place.target.member());
-            place.record_in(&mut self.trace);
-            match self.begin_on(proxy, req, place).await {
+            tried.push(selected.target.member());
+            selected.record_in(&mut self.trace);
+            match self.begin_on(proxy, req, selected).await {
                 Ok(answer) => {
                     self.begun = true;
                     return answer;
@@ -246,16 +246,16 @@
         &mut self,
         proxy: &Rc<Proxy>,
         req: &Request,
-        place: SelectedTarget,
+        selected: SelectedTarget,
     ) -> Result<Answer, BeginError> {
-        let permit = place.target.admit(req).await?;
+        let permit = selected.target.admit(req).await?;
         let context = AttemptContext {
             borders: proxy.borders.clone(),
             group: Rc::clone(&self.group),
-            target: Rc::clone(&place.target),
+            target: Rc::clone(&selected.target),
         };
         let mut lease = context.lease(req, req.deadline).await?;
-        let begin = match place.at_least {
+        let begin = match selected.at_least {
             None => TargetCommand::Begin,
             Some(_) => TargetCommand::BeginReadOnly {
                 at_least: Some(proxy.required_point(&self.group, req).ok_or(NotRun::Behind)?.point),
@@ -264,7 +264,7 @@
         if let TargetCommand::BeginReadOnly { at_least: Some(point) } = begin {
             let begun = context.open_transaction(req, &mut lease, begin).await;
             if let Err(AttemptOutcome::NotRun(NotRun::Behind)) = begun {
-                place.target.record_behind(point, proxy.borders.clock.now());
+                selected.target.record_behind(point, proxy.borders.clock.now());
             }
             begun.map_err(not_run_reason)?;
         } else {
@@ -277,7 +277,7 @@
                 let was_refused = answer.result.as_ref().is_err_and(Failure::has_not_run);
                 // A transaction that only reads may begin again on another target.
                 let has_failed = answer.result.as_ref().is_err_and(Failure::has_failed_on_target)
-                    && place.at_least.is_some();
+                    && selected.at_least.is_some();
                 if was_refused || has_failed {
                     if let Some(lease) = lease {
                         context.roll_back(lease).await;
@@ -285,7 +285,7 @@
                     if has_failed {
                         return Err(BeginError::Failed(answer));
                     }
-                    place.target.avoid(proxy.borders.clock.now());
+                    selected.target.avoid(proxy.borders.clock.now());
                     return Err(NotRun::Overloaded { retry_after_ms: 50 }.into());
                 }
                 self.connection = lease.map(|lease| OpenConnection { context, lease });
--- a/crates/gullspar_direct/src/writing/write_path.rs
+++ b/crates/gullspar_direct/src/writing/write_path.rs
@@ -36,9 +36,9 @@
                 last_reason = NotRun::NoPrimary;
                 break;
             }
-            let place =
+            let selected =
                 SelectedTarget { target: Rc::clone(&target), at_least: None, sample_age: None };
-            place.record_in(trace);
+            selected.record_in(trace);
             match self.try_write(group, req, target).await {
                 AttemptOutcome::Answered(answer) => return answer,
                 AttemptOutcome::NotRun(reason) => {
--- a/crates/gullspar_group/src/group_watch.rs
+++ b/crates/gullspar_group/src/group_watch.rs
@@ -199,7 +199,7 @@
         self.silence_counts_from.set(self.now() + self.timing.failed_after);
     }
 
-    /// Adds a position sample of the leader if a majority takes part in its term.
+    /// Adds a position sample of the leader if a majority is active in its term.
     fn add_position_sample(&self) {
         let Some(leader) = self.leader() else { return };
         let Some(confirmed) = self.confirmed_as_of(leader.term) else { return };
@@ -210,9 +210,11 @@
         self.position_samples.borrow_mut().add(PositionSample { as_of, point });
     }
 
-    /// The latest instant at which a majority is known to have taken part in `term`.
+    /// The latest instant at which a majority is known to have been active in `term`.
     ///
     /// At that instant no higher term had fenced a majority, so no write had been acknowledged in a higher term.
+    ///
+    /// A member is active in a term if it leads or follows the log of that term and was not fenced at a higher one.
     pub fn confirmed_as_of(&self, term: Term) -> Option<Instant> {
         let mut asked: Vec<Instant> = self
             .views
@@ -225,12 +227,12 @@
         asked.get(self.spec.borrow().majority() - 1).copied()
     }
 
-    /// Whether a majority took part in `term` at an instant no longer ago than `age`.
+    /// Whether a majority was active in `term` at an instant no longer ago than `age`.
     pub fn confirmed_within(&self, term: Term, age: Duration) -> bool {
         self.confirmed_as_of(term).is_some_and(|it| self.elapsed(it) <= age)
     }
 
-    /// Whether a majority answered recently that it takes part in `term`.
+    /// Whether a majority answered recently that it is active in `term`.
     pub fn has_responsive_majority(&self, term: Term) -> bool {
         let now = self.now();
         self.is_majority(|it| {
--- a/crates/gullspar_group/src/repair.rs
+++ b/crates/gullspar_group/src/repair.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether `member` does not take part in the leader's term and this instance is its home.
+    /// Whether `member` is not active in the leader's term and this instance is its home.
     fn has_diverged(&self, member: &MemberName) -> bool {
         let spec = self.spec();
         let Some(own) = spec.member(member) else { return false };
--- a/crates/gullspar_group/src/suspicion.rs
+++ b/crates/gullspar_group/src/suspicion.rs
@@ -120,7 +120,7 @@
         now < seen_at + self.timing.claim_abandoned_after
     }
 
-    /// Whether `leader` is leaving or was removed, and a replica that stays takes part in its term.
+    /// Whether `leader` is leaving or was removed, and a replica that stays is active in its term.
     fn can_replace_leaving(&self, leader: &Leader) -> bool {
         let spec = self.spec();
         let is_leaving = spec.member(&leader.member).is_none_or(|it| it.leaving);
--- a/crates/gullspar_membership/src/member_table.rs
+++ b/crates/gullspar_membership/src/member_table.rs
@@ -192,7 +192,7 @@
         self.apply_record(&record, now)
     }
 
-    /// Declares suspects dead whose time to refute is over, and returns them.
+    /// Declares dead each suspect that did not refute within [`SUSPECT_TIMEOUT`], and returns these.
     pub(crate) fn expire_suspects(&mut self, now: BootInstant) -> Vec<InstanceId> {
         let is_due = |id: &&InstanceId| {
             self.entries.get(*id).is_some_and(|it| now.since(it.since) >= SUSPECT_TIMEOUT)
